--- a/rockbarrow/catalog/catalog_test.go
+++ b/rockbarrow/catalog/catalog_test.go
@@ -51,14 +51,14 @@
 		to := with(from, 2, map[string]*fleetpb.Endpoint{
 			"e00003": {Id: "e00003", Draining: true}, "e00007": nil, "e99999": {Id: "e99999"},
 		})
-		c := Change(from, to)
+		c := Diff(from, to)
 		sizes = append(sizes, proto.Size(c))
 		got, err := Apply(from, c)
-		if err != nil || !Same(got, to) || got.Number() != 2 {
+		if err != nil || !Equal(got, to) || got.Number() != 2 {
 			t.Fatalf("%v", err)
 		}
 		copied := 0
-		Compare(from, got, func(_, _ *fleetpb.Endpoint) { copied++ })
+		ForEachDifference(from, got, func(_, _ *fleetpb.Endpoint) { copied++ })
 		shared := 0
 		for i, e := range got.List().GetEndpoints()[8 : n-1] {
 			if e == from.List().GetEndpoints()[i+9] {
@@ -91,15 +91,15 @@
 	}
 	for range 500 {
 		from, to := draw(), draw()
-		got, err := Apply(from, Change(from, to))
-		if err != nil || !Same(got, to) {
+		got, err := Apply(from, Diff(from, to))
+		if err != nil || !Equal(got, to) {
 			t.Fatalf("%v", err)
 		}
-		whole, err := Whole(to)
+		whole, err := Snapshot(to)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got, err := Apply(from, whole); err != nil || !Same(got, to) || got.Number() != to.Number() {
+		if got, err := Apply(from, whole); err != nil || !Equal(got, to) || got.Number() != to.Number() {
 			t.Fatalf("%v", err)
 		}
 	}
@@ -109,17 +109,17 @@
 func TestAWrongChangeChangesNothing(t *testing.T) {
 	from := listOf(10)
 	change := func(wrong func(*fleetpb.ListChange)) *fleetpb.ListChange {
-		c := proto.CloneOf(Change(from, with(from, 2, map[string]*fleetpb.Endpoint{
+		c := proto.CloneOf(Diff(from, with(from, 2, map[string]*fleetpb.Endpoint{
 			"e00001": {Id: "e00001"}, "e00002": {Id: "e00002"}, "e00003": nil,
 		})))
 		wrong(c)
 		return c
 	}
 	// Its sum is right: only the order tells it.
-	added := Change(from, with(from, 2, map[string]*fleetpb.Endpoint{"y": {Id: "y"}, "z": {Id: "z"}}))
+	added := Diff(from, with(from, 2, map[string]*fleetpb.Endpoint{"y": {Id: "y"}, "z": {Id: "z"}}))
 	slices.Reverse(added.Changed)
 	var base *BaseError
-	var sum *SumError
+	var sum *ChecksumError
 	tests := []struct {
 		name   string
 		change *fleetpb.ListChange
@@ -140,7 +140,7 @@
 			t.Errorf("%s: %v", test.name, err)
 		}
 	}
-	if !Same(from, listOf(10)) {
+	if !Equal(from, listOf(10)) {
 		t.Error("the list that was held has changed")
 	}
 }
@@ -151,15 +151,15 @@
 	first := listOf(100)
 	second := with(first, 2, map[string]*fleetpb.Endpoint{"e00005": nil})
 	h.Add(first)
-	change, err := h.Change(first.Sum(), second)
+	change, err := h.ChangeFrom(first.Checksum(), second)
 	if err != nil || len(change.GetRemoved()) != 1 {
 		t.Fatalf("%v, %v", change, err)
 	}
-	if again, _ := h.Change(first.Sum(), second); again != change {
+	if again, _ := h.ChangeFrom(first.Checksum(), second); again != change {
 		t.Error("the change was made twice")
 	}
 	for _, held := range []uint64{0, 12345} {
-		whole, err := h.Change(held, second)
+		whole, err := h.ChangeFrom(held, second)
 		if err != nil || len(whole.GetWhole()) == 0 {
 			t.Errorf("a receiver of an unknown list gets %v, %v", whole, err)
 		}
@@ -175,13 +175,13 @@
 func FuzzApply(f *testing.F) {
 	from := listOf(5)
 	for _, changed := range []map[string]*fleetpb.Endpoint{{"e00001": nil}, {"e00002": {Id: "e00002", Draining: true}}, {"x": {Id: "x"}}} {
-		b, err := proto.Marshal(Change(from, with(from, 2, changed)))
+		b, err := proto.Marshal(Diff(from, with(from, 2, changed)))
 		if err != nil {
 			f.Fatal(err)
 		}
 		f.Add(b)
 	}
-	whole, err := Whole(from)
+	whole, err := Snapshot(from)
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -200,7 +200,7 @@
 			return
 		}
 		endpoints := got.List().GetEndpoints()
-		if !slices.IsSortedFunc(endpoints, byID) || hasDuplicates(endpoints) || New(got.List()).Sum() != c.GetSum() {
+		if !slices.IsSortedFunc(endpoints, byID) || hasDuplicates(endpoints) || New(got.List()).Checksum() != c.GetSum() {
 			t.Error("a list was made that is not the one that was named")
 		}
 	})
@@ -215,7 +215,7 @@
 			id := fmt.Sprintf("e%05d", i*7)
 			changed[id] = &fleetpb.Endpoint{Id: id, Draining: true}
 		}
-		c := Change(from, with(from, 2, changed))
+		c := Diff(from, with(from, 2, changed))
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			for b.Loop() {
 				if _, err := Apply(from, c); err != nil {
--- a/rockbarrow/catalog/change.go
+++ b/rockbarrow/catalog/change.go
@@ -14,25 +14,25 @@
 )
 
 // BaseError says that a change was made against another list than the one held.
-type BaseError struct{ Want, Held uint64 }
+type BaseError struct{ WantChecksum, HeldChecksum uint64 }
 
 // Error names the two checksums.
 func (e *BaseError) Error() string {
-	return fmt.Sprintf("catalog: a change of list %x, and %x is held", e.Want, e.Held)
+	return fmt.Sprintf("catalog: a change of list %x, and %x is held", e.WantChecksum, e.HeldChecksum)
 }
 
 // SumError says that a change does not lead to the list that it names.
-type SumError struct{ Want, Got uint64 }
+type ChecksumError struct{ WantChecksum, GotChecksum uint64 }
 
 // Error names the two checksums.
-func (e *SumError) Error() string {
-	return fmt.Sprintf("catalog: a change leads to list %x, and not to %x", e.Got, e.Want)
+func (e *ChecksumError) Error() string {
+	return fmt.Sprintf("catalog: a change leads to list %x, and not to %x", e.GotChecksum, e.WantChecksum)
 }
 
 // Change returns what leads from one list to another.
-func Change(from, to *List) *fleetpb.ListChange {
-	out := &fleetpb.ListChange{Number: to.Number(), BaseSum: from.Sum(), Sum: to.Sum(), Calls: to.List().GetCalls()}
-	Compare(from, to, func(before, after *fleetpb.Endpoint) {
+func Diff(from, to *List) *fleetpb.ListChange {
+	out := &fleetpb.ListChange{Number: to.Number(), BaseSum: from.Checksum(), Sum: to.Checksum(), Calls: to.List().GetCalls()}
+	ForEachDifference(from, to, func(before, after *fleetpb.Endpoint) {
 		if after != nil {
 			out.Changed = append(out.Changed, after)
 		} else {
@@ -43,7 +43,7 @@
 }
 
 // Whole returns a list as a change of any base.
-func Whole(l *List) (*fleetpb.ListChange, error) {
+func Snapshot(l *List) (*fleetpb.ListChange, error) {
 	b, err := proto.Marshal(l.List())
 	if err != nil {
 		return nil, errors.Wrap(err, "catalog: a whole list")
@@ -52,7 +52,7 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "catalog: a whole list")
 	}
-	return &fleetpb.ListChange{Number: l.Number(), Sum: l.Sum(), Whole: frame, Calls: l.List().GetCalls()}, nil
+	return &fleetpb.ListChange{Number: l.Number(), Sum: l.Checksum(), Whole: frame, Calls: l.List().GetCalls()}, nil
 }
 
 // Apply returns the list that a change leads to. It fails with a [BaseError] or a [SumError], or if a whole list is
@@ -63,7 +63,7 @@
 		return nil, err
 	}
 	if next.sum != c.GetSum() {
-		return nil, &SumError{Want: c.GetSum(), Got: next.sum}
+		return nil, &ChecksumError{WantChecksum: c.GetSum(), GotChecksum: next.sum}
 	}
 	return next, nil
 }
@@ -79,10 +79,10 @@
 			return nil, errors.Wrap(err, "catalog: a whole list")
 		}
 		l.Number, l.Calls = c.GetNumber(), c.GetCalls()
-		return New(l).Sharing(held), nil
+		return New(l).ShareEndpoints(held), nil
 	}
-	if c.GetBaseSum() != held.Sum() {
-		return nil, &BaseError{Want: c.GetBaseSum(), Held: held.Sum()}
+	if c.GetBaseSum() != held.Checksum() {
+		return nil, &BaseError{WantChecksum: c.GetBaseSum(), HeldChecksum: held.Checksum()}
 	}
 	// The sum does not depend on the order.
 	if !slices.IsSortedFunc(c.GetChanged(), byID) || hasDuplicates(c.GetChanged()) {
@@ -94,7 +94,7 @@
 // merge applies changed and removed endpoints. What is removed and not held leads to another checksum.
 func merge(held *List, c *fleetpb.ListChange) *List {
 	old := held.List().GetEndpoints()
-	out, sum := make([]*fleetpb.Endpoint, 0, len(old)+len(c.GetChanged())), held.Sum()
+	out, sum := make([]*fleetpb.Endpoint, 0, len(old)+len(c.GetChanged())), held.Checksum()
 	changed, removed := c.GetChanged(), c.GetRemoved()
 	for len(old) > 0 || len(changed) > 0 {
 		switch {
--- a/rockbarrow/catalog/history.go
+++ b/rockbarrow/catalog/history.go
@@ -43,7 +43,7 @@
 
 // Change returns what leads a receiver to l, which becomes the newest list: from the one with the checksum that it holds,
 // or from nothing.
-func (h *History) Change(held uint64, l *List) (*fleetpb.ListChange, error) {
+func (h *History) ChangeFrom(held uint64, l *List) (*fleetpb.ListChange, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.add(l)
@@ -51,14 +51,14 @@
 		return c, nil
 	}
 	for _, base := range h.lists {
-		if held != 0 && base.Sum() == held {
-			c := Change(base, l)
+		if held != 0 && base.Checksum() == held {
+			c := Diff(base, l)
 			h.changes[held] = c
 			return c, nil
 		}
 	}
 	if h.whole == nil {
-		whole, err := Whole(l)
+		whole, err := Snapshot(l)
 		if err != nil {
 			return nil, err
 		}
--- a/rockbarrow/catalog/list.go
+++ b/rockbarrow/catalog/list.go
@@ -60,7 +60,7 @@
 func (l *List) Number() uint64 { return l.List().GetNumber() }
 
 // Sum returns the checksum, zero if l is nil.
-func (l *List) Sum() uint64 {
+func (l *List) Checksum() uint64 {
 	if l == nil {
 		return 0
 	}
@@ -103,7 +103,7 @@
 
 // Compare calls visit for each endpoint that differs between two lists, in the order of ids: before is nil for one that
 // is new, after for one that is gone.
-func Compare(from, to *List, visit func(before, after *fleetpb.Endpoint)) {
+func ForEachDifference(from, to *List, visit func(before, after *fleetpb.Endpoint)) {
 	a, b := from.List().GetEndpoints(), to.List().GetEndpoints()
 	for len(a) > 0 && len(b) > 0 {
 		if a[0] == b[0] {
@@ -133,17 +133,17 @@
 }
 
 // Same reports whether two lists have the same endpoints, whatever their numbers.
-func Same(a, b *List) bool {
-	same := a.Sum() == b.Sum()
+func Equal(a, b *List) bool {
+	same := a.Checksum() == b.Checksum()
 	if same {
-		Compare(a, b, func(_, _ *fleetpb.Endpoint) { same = false })
+		ForEachDifference(a, b, func(_, _ *fleetpb.Endpoint) { same = false })
 	}
 	return same
 }
 
 // Sharing returns l with the endpoints that it has in common with another list taken from there, so that the two need
 // little more memory than one.
-func (l *List) Sharing(o *List) *List {
+func (l *List) ShareEndpoints(o *List) *List {
 	a, b := slices.Clone(l.List().GetEndpoints()), o.List().GetEndpoints()
 	for i, j := 0, 0; i < len(a) && j < len(b); {
 		switch order := byID(a[i], b[j]); {
--- a/rockbarrow/controller/reader.go
+++ b/rockbarrow/controller/reader.go
@@ -130,8 +130,8 @@
 func (c *Controller) numberList(known *catalog.List, read *fleetpb.EndpointList) *catalog.List {
 	floor := c.listFloor.Load()
 	read.Number = (max(known.Number(), floor)>>tagBits+1)<<tagBits | c.listTag
-	l := catalog.New(read).Sharing(known)
-	if known != nil && known.Number() >= floor && catalog.Same(known, l) {
+	l := catalog.New(read).ShareEndpoints(known)
+	if known != nil && known.Number() >= floor && catalog.Equal(known, l) {
 		return known
 	}
 	return l
--- a/rockbarrow/controller/updates.go
+++ b/rockbarrow/controller/updates.go
@@ -174,7 +174,7 @@
 // version.
 func (c *Controller) putList(r *fleetpb.WatchReply, l *catalog.List, req *fleetpb.WatchRequest) {
 	if req.GetCompact() {
-		change, err := c.lists.Change(req.GetListSum(), l)
+		change, err := c.lists.ChangeFrom(req.GetListSum(), l)
 		if err == nil {
 			r.ListChange = change
 			return
--- a/rockbarrow/entry/updates.go
+++ b/rockbarrow/entry/updates.go
@@ -175,7 +175,7 @@
 func (e *Entry) listed(now time.Time, old, next *fleet) (changed []placement.Listed, gone []string) {
 	var present, absent []*fleetpb.Endpoint
 	to := next.reading.Version()
-	catalog.Compare(old.version(), to, func(before, after *fleetpb.Endpoint) {
+	catalog.ForEachDifference(old.version(), to, func(before, after *fleetpb.Endpoint) {
 		if after != nil {
 			present = append(present, after)
 		} else {
--- a/rockbarrow/watch/follow_test.go
+++ b/rockbarrow/watch/follow_test.go
@@ -209,7 +209,7 @@
 		c, control := newTableClient(t), &teller{}
 		target := c.serve(t, control)
 		c.OfferList(known, time.Now())
-		change := catalog.Change(c.List().Version(), next)
+		change := catalog.Diff(c.List().Version(), next)
 		wrong(change)
 		control.reply = &fleetpb.WatchReply{ListKnown: true, ListNumber: 2, ListChange: change}
 		if err := target.watch(t.Context()); err == nil || c.List().Version().Number() != 1 {
@@ -218,7 +218,7 @@
 		if control.asked.GetListSum() == 0 {
 			t.Errorf("%s: the list that is held was not told", name)
 		}
-		whole, err := catalog.Whole(next)
+		whole, err := catalog.Snapshot(next)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/rockbarrow/watch/received.go
+++ b/rockbarrow/watch/received.go
@@ -60,7 +60,7 @@
 		c.OfferVersion(known.list, at)
 		return
 	}
-	c.OfferVersion(catalog.New(l).Sharing(known.Version()), at)
+	c.OfferVersion(catalog.New(l).ShareEndpoints(known.Version()), at)
 }
 
 // OfferVersion is OfferList for a list whose checksum is known.
--- a/rockbarrow/watch/target.go
+++ b/rockbarrow/watch/target.go
@@ -192,9 +192,9 @@
 		if err != nil {
 			return nil, err
 		}
-		return catalog.New(l).Sharing(known), nil
+		return catalog.New(l).ShareEndpoints(known), nil
 	case r.GetList() != nil:
-		return catalog.New(r.GetList()).Sharing(known), nil
+		return catalog.New(r.GetList()).ShareEndpoints(known), nil
 	}
 	return nil, nil
 }
@@ -207,7 +207,7 @@
 	}
 	next, err := catalog.Apply(known, change)
 	var base *catalog.BaseError
-	if errors.As(err, &base) && base.Want == told {
+	if errors.As(err, &base) && base.WantChecksum == told {
 		// The list has changed during the call; the next call tells the one that is held now.
 		c.Log.WithError(err).Debug("a change of another list")
 		return nil, nil
@@ -226,7 +226,7 @@
 		req.Relayed = c.Relayed(acknowledged)
 	}
 	if l := c.List(); l != nil && !t.whole {
-		req.ListSum = l.list.Sum()
+		req.ListSum = l.list.Checksum()
 	}
 }
 
