--- a/rockbarrow/controller/controller.go
+++ b/rockbarrow/controller/controller.go
@@ -150,7 +150,7 @@
 	}
 	c.FirstSeeds = slices.Sorted(slices.Values(c.FirstSeeds))
 	c.acceptor = register.Acceptor{
-		Storage: c.Self.GetStorage(), Founder: c.Founder, Seeds: c.FirstSeeds, Losses: c.Losses,
+		Storage: c.Self.GetStorage(), Founder: c.Founder, Seeds: c.FirstSeeds, FaultTolerance: c.Losses,
 	}
 	if record != nil {
 		c.watch.Documents.Add(record.GetState())
--- a/rockbarrow/controller/controller_test.go
+++ b/rockbarrow/controller/controller_test.go
@@ -239,7 +239,7 @@
 	wiped.start(nil)
 	await(t, func() bool {
 		s := wiped.controller.State()
-		return register.Has(s.GetVoters(), 99) && len(s.GetPriorVoters()) == 0
+		return register.ContainsStorage(s.GetVoters(), 99) && len(s.GetPriorVoters()) == 0
 	})
 	// Another is lost right after: the repaired one and the last make a majority.
 	core[0].stop()
--- a/rockbarrow/controller/duties.go
+++ b/rockbarrow/controller/duties.go
@@ -145,7 +145,7 @@
 		return
 	}
 	voters := firstVoters(heard, c.control(now, leaderWithin), 2*c.Losses+1)
-	d.change(ctx, "first voters", register.First(voters, seeds))
+	d.change(ctx, "first voters", register.InitialState(voters, seeds))
 }
 
 // firstVoters are the seeds that were heard and, while these are fewer than wanted, others: what a majority
@@ -153,7 +153,7 @@
 func firstVoters(seeds, control []*fleetpb.Member, wanted int) []*fleetpb.Member {
 	out := slices.Clone(seeds)
 	for _, m := range control {
-		if len(out) < wanted && !register.Has(out, m.GetStorage()) {
+		if len(out) < wanted && !register.ContainsStorage(out, m.GetStorage()) {
 			out = append(out, m)
 		}
 	}
--- a/rockbarrow/controller/founding_test.go
+++ b/rockbarrow/controller/founding_test.go
@@ -104,7 +104,7 @@
 			}
 			await(t, func() bool {
 				s := places[3].controller.State()
-				return register.Has(s.GetVoters(), 1) && register.Has(s.GetVoters(), 2) && register.Has(s.GetVoters(), 3)
+				return register.ContainsStorage(s.GetVoters(), 1) && register.ContainsStorage(s.GetVoters(), 2) && register.ContainsStorage(s.GetVoters(), 3)
 			})
 		})
 	}
--- a/rockbarrow/controller/reach.go
+++ b/rockbarrow/controller/reach.go
@@ -44,11 +44,11 @@
 	out := &fleetpb.Reach{FailureDomains: []string{c.Self.GetFailureDomain()}, AllRelay: c.watch.AllRelay()}
 	voters := c.State().GetVoters()
 	reached := 0
-	if register.Has(voters, c.Self.GetStorage()) {
+	if register.ContainsStorage(voters, c.Self.GetStorage()) {
 		reached++
 	}
 	for _, m := range c.watch.Control(reachedWithin) {
-		if register.Has(voters, m.GetStorage()) {
+		if register.ContainsStorage(voters, m.GetStorage()) {
 			reached++
 		}
 		if !slices.Contains(out.FailureDomains, m.GetFailureDomain()) {
--- a/rockbarrow/controller/rounds.go
+++ b/rockbarrow/controller/rounds.go
@@ -75,8 +75,8 @@
 				outstanding++
 			case register.Chosen:
 				return a.State, nil
-			case register.Lost:
-				return nil, &lostError{round: a.To.GetRound()}
+			case register.Preempted:
+				return nil, &lostError{round: a.By.GetRound()}
 			}
 		}
 		if outstanding == 0 {
@@ -249,7 +249,7 @@
 	c.voting.Lock()
 	defer c.voting.Unlock()
 	before := c.acceptor.Record()
-	if !c.acceptor.Form() {
+	if !c.acceptor.MarkFormed() {
 		return nil
 	}
 	return c.save(before, c.disk.savePromise)
--- a/rockbarrow/controller/votes.go
+++ b/rockbarrow/controller/votes.go
@@ -64,7 +64,7 @@
 	if err := proto.Unmarshal(v.promise.Value(), promise); err != nil {
 		return nil, err
 	}
-	if register.Compare(promise.GetPromised(), record.GetPromised()) > 0 {
+	if register.CompareBallots(promise.GetPromised(), record.GetPromised()) > 0 {
 		record.Promised = promise.GetPromised()
 	}
 	record.Formed = record.GetFormed() || promise.GetFormed()
--- a/rockbarrow/controller/votes_test.go
+++ b/rockbarrow/controller/votes_test.go
@@ -65,7 +65,7 @@
 	newest := core[0].controller.acceptorRecord()
 	for _, p := range core {
 		r := p.controller.acceptorRecord()
-		if register.Compare(r.GetAccepted(), newest.GetAccepted()) != 0 {
+		if register.CompareBallots(r.GetAccepted(), newest.GetAccepted()) != 0 {
 			return false
 		}
 	}
--- a/rockbarrow/membership/plan.go
+++ b/rockbarrow/membership/plan.go
@@ -45,7 +45,7 @@
 
 // Next returns the state with one step made, or nil if there is none to make.
 func (p Plan) Next(s *fleetpb.State) *fleetpb.State {
-	s = register.Clone(s)
+	s = register.CloneState(s)
 	if p.nextView(s) || p.nextVoters(s) {
 		return s
 	}
@@ -61,7 +61,7 @@
 		return p.finishView(s)
 	}
 	members := p.wantedStores(s)
-	if register.Same(members, v.GetMembers()) {
+	if register.SameMembers(members, v.GetMembers()) {
 		return retireOthers(s)
 	}
 	v.Prior, v.Members = v.GetMembers(), members
--- a/rockbarrow/membership/voters.go
+++ b/rockbarrow/membership/voters.go
@@ -16,7 +16,7 @@
 		return true
 	}
 	wanted := p.wantedVoters(s.GetVoters())
-	if register.Same(wanted, s.GetVoters()) {
+	if register.SameMembers(wanted, s.GetVoters()) {
 		return false
 	}
 	s.PriorVoters, s.Voters = s.GetVoters(), wanted
@@ -44,11 +44,11 @@
 // spareControl returns control instances that have no vote.
 func (p Plan) spareControl(voters []*fleetpb.Member) []*fleetpb.Member {
 	var out []*fleetpb.Member
-	if !register.Has(voters, p.Self.GetStorage()) {
+	if !register.ContainsStorage(voters, p.Self.GetStorage()) {
 		out = append(out, p.Self)
 	}
 	for _, peer := range p.Control {
-		if p.present(peer) && !register.Has(voters, peer.Member.GetStorage()) {
+		if p.present(peer) && !register.ContainsStorage(voters, peer.Member.GetStorage()) {
 			out = append(out, peer.Member)
 		}
 	}
--- a/rockbarrow/register/acceptor.go
+++ b/rockbarrow/register/acceptor.go
@@ -21,7 +21,7 @@
 	// start of this storage. They never change.
 	Seeds []string
 	// Losses is how many storages may be lost at once.
-	Losses int
+	FaultTolerance int
 
 	// record never goes back to an older ballot.
 	record *fleetpb.AcceptorRecord
@@ -39,7 +39,7 @@
 		return &fleetpb.PrepareReply{Silent: true}, false
 	}
 	promised := a.record.GetPromised()
-	if Compare(req.GetBallot(), promised) <= 0 {
+	if CompareBallots(req.GetBallot(), promised) <= 0 {
 		return &fleetpb.PrepareReply{Promised: promised}, false
 	}
 	next := a.next()
@@ -61,11 +61,11 @@
 	case a.record.GetFormed() || !slices.Equal(seeds, a.Seeds):
 		return false
 	}
-	return a.Founder || a.Losses <= len(a.Seeds)/2
+	return a.Founder || a.FaultTolerance <= len(a.Seeds)/2
 }
 
 // Form remembers that there is a deployment. It reports whether that is new; the caller saves it.
-func (a *Acceptor) Form() (changed bool) {
+func (a *Acceptor) MarkFormed() (changed bool) {
 	if a.record.GetFormed() || a.record.GetState() != nil {
 		return false
 	}
@@ -81,7 +81,7 @@
 		return &fleetpb.AcceptReply{Silent: true}, false
 	}
 	promised := a.record.GetPromised()
-	if Compare(req.GetBallot(), promised) < 0 {
+	if CompareBallots(req.GetBallot(), promised) < 0 {
 		return &fleetpb.AcceptReply{Promised: promised}, false
 	}
 	next := a.next()
@@ -101,7 +101,7 @@
 
 // Clone copies a state for a change. The configuration is shared: a change puts another
 // one in its place and never alters it, and its document may be large.
-func Clone(s *fleetpb.State) *fleetpb.State {
+func CloneState(s *fleetpb.State) *fleetpb.State {
 	shallow := &fleetpb.State{
 		Number: s.GetNumber(), Voters: s.GetVoters(), PriorVoters: s.GetPriorVoters(),
 		View: s.GetView(), Retired: s.GetRetired(), Evacuations: s.GetEvacuations(),
--- a/rockbarrow/register/ballot.go
+++ b/rockbarrow/register/ballot.go
@@ -9,7 +9,7 @@
 )
 
 // Compare orders ballots by round, then by proposer. A nil ballot is the oldest.
-func Compare(a, b *fleetpb.Ballot) int {
+func CompareBallots(a, b *fleetpb.Ballot) int {
 	if c := cmp.Compare(a.GetRound(), b.GetRound()); c != 0 {
 		return c
 	}
@@ -17,7 +17,7 @@
 }
 
 // Same reports whether two lists name the same lives of storage.
-func Same(a, b []*fleetpb.Member) bool {
+func SameMembers(a, b []*fleetpb.Member) bool {
 	return len(a) == len(b) && containsAll(a, b) && containsAll(b, a)
 }
 
@@ -31,7 +31,7 @@
 }
 
 // Has reports whether a list names a life of a storage.
-func Has(list []*fleetpb.Member, storage uint64) bool {
+func ContainsStorage(list []*fleetpb.Member, storage uint64) bool {
 	for _, m := range list {
 		if m.GetStorage() == storage {
 			return true
@@ -42,7 +42,7 @@
 
 func containsAll(list, part []*fleetpb.Member) bool {
 	for _, m := range part {
-		if !Has(list, m.GetStorage()) {
+		if !ContainsStorage(list, m.GetStorage()) {
 			return false
 		}
 	}
--- a/rockbarrow/register/clone_test.go
+++ b/rockbarrow/register/clone_test.go
@@ -25,7 +25,7 @@
 			t.Errorf("field %s is not tried", f.Name())
 		}
 	}
-	if c := Clone(s); !proto.Equal(c, s) {
+	if c := CloneState(s); !proto.Equal(c, s) {
 		t.Errorf("%v, want %v", c, s)
 	}
 }
--- a/rockbarrow/register/founding_test.go
+++ b/rockbarrow/register/founding_test.go
@@ -29,7 +29,7 @@
 	f := &founding{model: newModel(t, seed, 4), lost: make([]bool, 4), losses: 1 + int(seed%2), next: 100}
 	for id := range uint64(4) {
 		a := f.acceptors[id+1]
-		a.Founder, a.Losses = f.r.IntN(4) > 0, f.losses
+		a.Founder, a.FaultTolerance = f.r.IntN(4) > 0, f.losses
 		f.at = append(f.at, id+1)
 	}
 	return f
@@ -68,7 +68,7 @@
 		if len(known) == 0 {
 			return
 		}
-		change = First(known, seeds)
+		change = InitialState(known, seeds)
 	} else if f.r.IntN(3) == 0 {
 		change = func(s *fleetpb.State) *fleetpb.State {
 			if s.GetPriorVoters() == nil {
@@ -93,7 +93,7 @@
 	}
 	f.formed = true
 	f.known[f.at[i]] = f.newest
-	f.acceptors[f.at[i]].Form()
+	f.acceptors[f.at[i]].MarkFormed()
 	f.lost[i] = false
 }
 
@@ -113,7 +113,7 @@
 	delete(f.acceptors, f.at[i])
 	f.next++
 	f.at[i] = f.next
-	f.acceptors[f.next] = &Acceptor{Storage: f.next, Seeds: seeds, Losses: f.losses}
+	f.acceptors[f.next] = &Acceptor{Storage: f.next, Seeds: seeds, FaultTolerance: f.losses}
 }
 
 // TestOneDeploymentIsFounded: whatever is chosen first is the only first value, and what follows forms
--- a/rockbarrow/register/model_test.go
+++ b/rockbarrow/register/model_test.go
@@ -35,7 +35,7 @@
 func newModel(t testing.TB, seed uint64, n int) *model {
 	m := &model{t: t, r: rand.New(rand.NewPCG(seed, 1)), acceptors: map[uint64]*Acceptor{}, chosen: map[uint64]string{}, known: map[uint64]*fleetpb.State{}}
 	for i := range uint64(n) {
-		m.acceptors[i+1] = &Acceptor{Storage: i + 1, Founder: true, Losses: 1}
+		m.acceptors[i+1] = &Acceptor{Storage: i + 1, Founder: true, FaultTolerance: 1}
 		if i < 3 {
 			m.initial = append(m.initial, member(i+1))
 		}
@@ -143,7 +143,7 @@
 			s.PriorVoters = nil
 			return s
 		}
-		if s.GetNumber() == 0 || !Has(s.GetVoters(), old) || Has(s.GetVoters(), new) {
+		if s.GetNumber() == 0 || !ContainsStorage(s.GetVoters(), old) || ContainsStorage(s.GetVoters(), new) {
 			return nil
 		}
 		s.PriorVoters = s.GetVoters()
@@ -232,14 +232,14 @@
 	if reply, _ := a.Prepare(founding(1)); !reply.GetGranted() || reply.GetFounder() {
 		t.Errorf("%v, want a promise of no founder", reply)
 	}
-	a.Losses = 2
+	a.FaultTolerance = 2
 	if reply, _ := a.Prepare(founding(2)); !reply.GetSilent() {
 		t.Error("a storage that was emptied later founds where two of three may have been lost")
 	}
 }
 
 func TestAFounderVotesAboutOneListOfSeeds(t *testing.T) {
-	a := &Acceptor{Storage: 1, Founder: true, Seeds: []string{"x", "y", "z"}, Losses: 1}
+	a := &Acceptor{Storage: 1, Founder: true, Seeds: []string{"x", "y", "z"}, FaultTolerance: 1}
 	ask := func(round uint64, seeds ...string) bool {
 		reply, _ := a.Prepare(&fleetpb.PrepareRequest{Ballot: &fleetpb.Ballot{Round: round}, Acceptor: 1, Seeds: seeds})
 		return reply.GetGranted()
@@ -250,7 +250,7 @@
 	if ask(3, "x", "y", "w") || ask(4, "x", "y") {
 		t.Error("another list was voted about")
 	}
-	if !a.Form() || a.Form() {
+	if !a.MarkFormed() || a.MarkFormed() {
 		t.Error("that there is a deployment is not remembered once")
 	}
 	if ask(5, "x", "y", "z") {
@@ -298,7 +298,7 @@
 		Number: 3, Configuration: &fleetpb.Configuration{Version: 2, Document: []byte("large")}, Retired: []string{"a"},
 		Voters: []*fleetpb.Member{{Instance: "v"}}, PriorVoters: []*fleetpb.Member{{Instance: "p"}}, View: &fleetpb.View{Epoch: 4},
 	}
-	c := Clone(s)
+	c := CloneState(s)
 	if !proto.Equal(c, s) {
 		t.Errorf("%v is no clone of %v", c, s)
 	}
--- a/rockbarrow/register/round.go
+++ b/rockbarrow/register/round.go
@@ -11,7 +11,7 @@
 // First returns the change that makes the first value, with voters that were heard. Until the first move of
 // voters a majority at the seeds' addresses counts beside them: two first values that are proposed at once
 // may have other voters, and only the seeds are the same for both.
-func First(voters, seeds []*fleetpb.Member) Change {
+func InitialState(voters, seeds []*fleetpb.Member) Change {
 	return func(s *fleetpb.State) *fleetpb.State {
 		if s.GetNumber() > 0 {
 			return nil
@@ -63,15 +63,15 @@
 
 // Lost says that a newer ballot was met; it ends the round. The value may come
 // to be chosen all the same if Proposed is true.
-type Lost struct {
-	To       *fleetpb.Ballot
+type Preempted struct {
+	By       *fleetpb.Ballot
 	Proposed bool
 }
 
 func (Prepare) action() {}
 func (Accept) action()  {}
 func (Chosen) action()  {}
-func (Lost) action()    {}
+func (Preempted) action()    {}
 
 // Round is one change of the register under one ballot.
 type Round struct {
@@ -165,7 +165,7 @@
 	var out []Action
 	for _, set := range r.electorate() {
 		for _, m := range set {
-			if m.GetStorage() == 0 || Has(r.asked, m.GetStorage()) {
+			if m.GetStorage() == 0 || ContainsStorage(r.asked, m.GetStorage()) {
 				continue
 			}
 			r.asked = append(r.asked, m)
@@ -194,7 +194,7 @@
 	}
 	r.promised[e.From] = e.Reply.GetAccepted()
 	r.founders[e.From] = e.Reply.GetFounder()
-	if e.Reply.GetState() != nil && (r.best == nil || Compare(e.Reply.GetAccepted(), r.bestBallot) > 0) {
+	if e.Reply.GetState() != nil && (r.best == nil || CompareBallots(e.Reply.GetAccepted(), r.bestBallot) > 0) {
 		r.best, r.bestBallot = e.Reply.GetState(), e.Reply.GetAccepted()
 	}
 	// A newer value may name voters that were not asked yet.
@@ -236,7 +236,7 @@
 	var sent []*fleetpb.Member
 	for _, set := range electorate {
 		for _, m := range set {
-			if m.GetStorage() == 0 || Has(sent, m.GetStorage()) {
+			if m.GetStorage() == 0 || ContainsStorage(sent, m.GetStorage()) {
 				continue
 			}
 			sent = append(sent, m)
@@ -252,7 +252,7 @@
 	if r.Change == nil {
 		return nil
 	}
-	next := r.Change(Clone(current))
+	next := r.Change(CloneState(current))
 	if next != nil {
 		next.Number = current.GetNumber() + 1
 	}
@@ -264,7 +264,7 @@
 func (r *Round) chosenAlready() bool {
 	return r.best != nil && majorities(sets(r.best), func(id uint64) bool {
 		b, ok := r.promised[id]
-		return ok && Compare(b, r.bestBallot) == 0
+		return ok && CompareBallots(b, r.bestBallot) == 0
 	})
 }
 
@@ -290,12 +290,12 @@
 
 func (r *Round) lost(to *fleetpb.Ballot) []Action {
 	r.done = true
-	return []Action{Lost{To: to, Proposed: r.proposed != nil}}
+	return []Action{Preempted{By: to, Proposed: r.proposed != nil}}
 }
 
 // sameSets reports whether two values have the same voters.
 func sameSets(a, b *fleetpb.State) bool {
-	return Same(a.GetVoters(), b.GetVoters()) && Same(a.GetPriorVoters(), b.GetPriorVoters())
+	return SameMembers(a.GetVoters(), b.GetVoters()) && SameMembers(a.GetPriorVoters(), b.GetPriorVoters())
 }
 
 // majorities reports whether more than half of each set has a property.
--- a/rockbarrow/store/copier.go
+++ b/rockbarrow/store/copier.go
@@ -51,7 +51,7 @@
 // catchUp makes the store whole for a view, if it is a member.
 func (c *copier) catchUp(ctx context.Context, v *fleetpb.View) {
 	s := c.store
-	if v == nil || s.whole.Load() >= v.GetEpoch() || !register.Has(v.GetMembers(), s.Self.GetStorage()) {
+	if v == nil || s.whole.Load() >= v.GetEpoch() || !register.ContainsStorage(v.GetMembers(), s.Self.GetStorage()) {
 		return
 	}
 	start := time.Now()
