--- a/rockbarrow/controller/presence.go
+++ b/rockbarrow/controller/presence.go
@@ -44,8 +44,8 @@
 // ended.
 func (r *presence) receive(now time.Time, req *fleetpb.WatchRequest) (acknowledged uint64, ended []*fleetpb.EndpointUse) {
 	if req.GetRole() != fleetpb.Role_ROLE_CONTROL {
-		r.fleet.Receive(now, req)
-		r.reports.Receive(now, req)
+		r.fleet.RecordCall(now, req)
+		r.reports.RecordCall(now, req)
 		return 0, nil
 	}
 	r.mu.Lock()
@@ -58,13 +58,13 @@
 	if req.GetRelayed() == nil {
 		return 0, nil
 	}
-	return r.fleet.Take(now, name, req.GetRelayed())
+	return r.fleet.ApplyRelayed(now, name, req.GetRelayed())
 }
 
 // refresh counts all as heard now, after this process stood still.
 func (r *presence) refresh(now time.Time) {
-	r.fleet.Refresh(now)
-	r.reports.Refresh(now)
+	r.fleet.MarkAllHeard(now)
+	r.reports.MarkAllHeard(now)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for name, p := range r.control {
@@ -75,7 +75,7 @@
 
 // forget drops instances that were not heard for long.
 func (r *presence) forget(now time.Time) {
-	r.fleet.Forget(now)
+	r.fleet.Expire(now)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for name, p := range r.control {
@@ -100,7 +100,7 @@
 		return out
 	}
 	for _, i := range r.fleet.Instances(now, role, within) {
-		out = append(out, membership.Peer{Member: i.Member, Heard: i.Heard, Copied: i.Copied})
+		out = append(out, membership.Peer{Member: i.Member, Heard: i.LastHeard, Copied: i.CopiedEpoch})
 	}
 	return out
 }
@@ -127,10 +127,10 @@
 			out = append(out, at[name])
 		}
 		at[name].Known++
-		if now.Sub(i.Heard) < membership.PresentWithin {
+		if now.Sub(i.LastHeard) < membership.PresentWithin {
 			present++
 		}
-		if now.Sub(i.Heard) < servingWithin {
+		if now.Sub(i.LastHeard) < servingWithin {
 			at[name].Heard++
 			if i.Serves {
 				at[name].Serving++
--- a/rockbarrow/relay/fleet.go
+++ b/rockbarrow/relay/fleet.go
@@ -16,9 +16,9 @@
 	Member *fleetpb.Member
 	Role   fleetpb.Role
 	// Heard is when it called last, whichever control instance it called.
-	Heard time.Time
+	LastHeard time.Time
 	// Copied is the newest view whose records a store holds.
-	Copied uint64
+	CopiedEpoch uint64
 	// Serves is true if an entry instance takes requests.
 	Serves bool
 }
@@ -46,20 +46,20 @@
 }
 
 // Receive takes a call of an entry or store instance.
-func (f *Fleet) Receive(now time.Time, req *fleetpb.WatchRequest) {
+func (f *Fleet) RecordCall(now time.Time, req *fleetpb.WatchRequest) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.direct == nil {
 		f.direct = map[string]*Instance{}
 	}
 	f.direct[req.GetSender().GetInstance()] = &Instance{
-		Member: req.GetSender(), Role: req.GetRole(), Heard: now, Copied: req.GetCopiedEpoch(), Serves: req.GetServes(),
+		Member: req.GetSender(), Role: req.GetRole(), LastHeard: now, CopiedEpoch: req.GetCopiedEpoch(), Serves: req.GetServes(),
 	}
 }
 
 // Take takes a message of another control instance. It returns the sequence to acknowledge, zero if a snapshot is needed,
 // and the ended calls that were not taken before.
-func (f *Fleet) Take(now time.Time, from string, m *fleetpb.Relayed) (acknowledged uint64, ended []*fleetpb.EndpointUse) {
+func (f *Fleet) ApplyRelayed(now time.Time, from string, m *fleetpb.Relayed) (acknowledged uint64, ended []*fleetpb.EndpointUse) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.relays == nil {
@@ -90,8 +90,8 @@
 	r.sequence, r.heard = m.GetSequence(), now
 	for _, u := range m.GetFollowers() {
 		r.followers[u.GetMember().GetInstance()] = &relayedFollower{calm: u.GetSilentMs() == 0, Instance: Instance{
-			Member: u.GetMember(), Role: u.GetRole(), Copied: u.GetCopiedEpoch(), Serves: u.GetServes(),
-			Heard: now.Add(-time.Duration(u.GetSilentMs()) * time.Millisecond),
+			Member: u.GetMember(), Role: u.GetRole(), CopiedEpoch: u.GetCopiedEpoch(), Serves: u.GetServes(),
+			LastHeard: now.Add(-time.Duration(u.GetSilentMs()) * time.Millisecond),
 		}}
 	}
 	for _, name := range m.GetLeft() {
@@ -106,17 +106,17 @@
 	newest := map[string]Instance{}
 	merge := func(i Instance) {
 		name := i.Member.GetInstance()
-		if i.Role != role || now.Sub(i.Heard) >= within {
+		if i.Role != role || now.Sub(i.LastHeard) >= within {
 			return
 		}
 		known, ok := newest[name]
-		if !ok || known.Heard.Before(i.Heard) {
+		if !ok || known.LastHeard.Before(i.LastHeard) {
 			if known.Member.GetStorage() == i.Member.GetStorage() {
-				i.Copied = max(i.Copied, known.Copied)
+				i.CopiedEpoch = max(i.CopiedEpoch, known.CopiedEpoch)
 			}
 			newest[name] = i
 		} else if known.Member.GetStorage() == i.Member.GetStorage() {
-			known.Copied = max(i.Copied, known.Copied)
+			known.CopiedEpoch = max(i.CopiedEpoch, known.CopiedEpoch)
 			newest[name] = known
 		}
 	}
@@ -127,7 +127,7 @@
 		for _, u := range r.followers {
 			i := u.Instance
 			if u.calm {
-				i.Heard = r.heard
+				i.LastHeard = r.heard
 			}
 			merge(i)
 		}
@@ -141,11 +141,11 @@
 }
 
 // Forget drops instances and relays that were not heard for long.
-func (f *Fleet) Forget(now time.Time) {
+func (f *Fleet) Expire(now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for name, i := range f.direct {
-		if now.Sub(i.Heard) > forgetAfter {
+		if now.Sub(i.LastHeard) > forgetAfter {
 			delete(f.direct, name)
 		}
 	}
@@ -157,16 +157,16 @@
 }
 
 // Refresh counts all instances as heard now, after this process was stopped for a while.
-func (f *Fleet) Refresh(now time.Time) {
+func (f *Fleet) MarkAllHeard(now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, i := range f.direct {
-		i.Heard = now
+		i.LastHeard = now
 	}
 	for _, r := range f.relays {
 		r.heard = now
 		for _, u := range r.followers {
-			u.Heard = now
+			u.LastHeard = now
 		}
 	}
 }
--- a/rockbarrow/relay/relay_test.go
+++ b/rockbarrow/relay/relay_test.go
@@ -38,20 +38,20 @@
 	var r Reports
 	var f Fleet
 	for _, name := range []string{"entry-1", "entry-2"} {
-		r.Receive(start, call(name, fleetpb.Role_ROLE_ENTRY))
+		r.RecordCall(start, call(name, fleetpb.Role_ROLE_ENTRY))
 	}
 	store := call("store-1", fleetpb.Role_ROLE_STORE)
 	store.CopiedEpoch = 7
-	r.Receive(start, store)
-	acknowledged, _ := f.Take(start, "control-1", r.Since(start, 0, nil))
+	r.RecordCall(start, store)
+	acknowledged, _ := f.ApplyRelayed(start, "control-1", r.Since(start, 0, nil))
 	if got := names(&f, start, fleetpb.Role_ROLE_ENTRY, time.Second); got != "entry-1 entry-2 " || acknowledged == 0 {
 		t.Fatalf("%q, acknowledged %d", got, acknowledged)
 	}
-	if i := f.Instances(start, fleetpb.Role_ROLE_STORE, time.Second); len(i) != 1 || i[0].Copied != 7 {
+	if i := f.Instances(start, fleetpb.Role_ROLE_STORE, time.Second); len(i) != 1 || i[0].CopiedEpoch != 7 {
 		t.Errorf("%v", i)
 	}
 	// One that was heard here too counts as heard by whoever heard it last.
-	f.Receive(start.Add(-time.Minute), call("entry-1", fleetpb.Role_ROLE_ENTRY))
+	f.RecordCall(start.Add(-time.Minute), call("entry-1", fleetpb.Role_ROLE_ENTRY))
 	if got := names(&f, start, fleetpb.Role_ROLE_ENTRY, time.Second); got != "entry-1 entry-2 " {
 		t.Errorf("%q", got)
 	}
@@ -65,13 +65,13 @@
 		var f Fleet
 		for round := range 10 {
 			for i := range n {
-				r.Receive(now, call(fmt.Sprint("entry-", i), fleetpb.Role_ROLE_ENTRY))
+				r.RecordCall(now, call(fmt.Sprint("entry-", i), fleetpb.Role_ROLE_ENTRY))
 			}
 			m := r.Since(now, acknowledged, nil)
 			if round > 0 && proto.Size(m) > 64 {
 				t.Fatalf("%d bytes of %d calm followers", proto.Size(m), n)
 			}
-			acknowledged, _ = f.Take(now, "control-1", m)
+			acknowledged, _ = f.ApplyRelayed(now, "control-1", m)
 			now = now.Add(300 * time.Millisecond)
 		}
 		if got := len(f.Instances(now, fleetpb.Role_ROLE_ENTRY, time.Second)); got != n {
@@ -84,21 +84,21 @@
 func TestSilenceIsRelayedAsItIs(t *testing.T) {
 	var r Reports
 	var f Fleet
-	r.Receive(start, call("entry-1", fleetpb.Role_ROLE_ENTRY))
+	r.RecordCall(start, call("entry-1", fleetpb.Role_ROLE_ENTRY))
 	acknowledged := uint64(0)
 	now := start
 	for ; now.Before(start.Add(3 * time.Second)); now = now.Add(300 * time.Millisecond) {
-		acknowledged, _ = f.Take(now, "control-1", r.Since(now, acknowledged, nil))
-		heard := f.Instances(now, fleetpb.Role_ROLE_ENTRY, time.Hour)[0].Heard
+		acknowledged, _ = f.ApplyRelayed(now, "control-1", r.Since(now, acknowledged, nil))
+		heard := f.Instances(now, fleetpb.Role_ROLE_ENTRY, time.Hour)[0].LastHeard
 		late := heard.Sub(start)
 		if late > calmWithin || now.Sub(start) > 2*calmWithin && late != 0 {
 			t.Errorf("after %v of silence it counts as heard %v too late", now.Sub(start), late)
 		}
 	}
 	// It calls again.
-	r.Receive(now, call("entry-1", fleetpb.Role_ROLE_ENTRY))
-	f.Take(now, "control-1", r.Since(now, acknowledged, nil))
-	if heard := f.Instances(now, fleetpb.Role_ROLE_ENTRY, time.Hour)[0].Heard; heard != now {
+	r.RecordCall(now, call("entry-1", fleetpb.Role_ROLE_ENTRY))
+	f.ApplyRelayed(now, "control-1", r.Since(now, acknowledged, nil))
+	if heard := f.Instances(now, fleetpb.Role_ROLE_ENTRY, time.Hour)[0].LastHeard; heard != now {
 		t.Errorf("heard %v ago, want now", now.Sub(heard))
 	}
 }
@@ -108,16 +108,16 @@
 	var lost, other Reports
 	var f Fleet
 	for _, name := range []string{"entry-1", "entry-2"} {
-		lost.Receive(start, call(name, fleetpb.Role_ROLE_ENTRY))
+		lost.RecordCall(start, call(name, fleetpb.Role_ROLE_ENTRY))
 	}
-	f.Take(start, "control-1", lost.Since(start, 0, nil))
+	f.ApplyRelayed(start, "control-1", lost.Since(start, 0, nil))
 	later := start.Add(2 * time.Second)
-	other.Receive(later, call("entry-2", fleetpb.Role_ROLE_ENTRY))
-	f.Take(later, "control-2", other.Since(later, 0, nil))
+	other.RecordCall(later, call("entry-2", fleetpb.Role_ROLE_ENTRY))
+	f.ApplyRelayed(later, "control-2", other.Since(later, 0, nil))
 	if got := names(&f, later, fleetpb.Role_ROLE_ENTRY, time.Second); got != "entry-2 " {
 		t.Errorf("%q were heard within a second", got)
 	}
-	f.Forget(start.Add(forgetAfter + time.Second))
+	f.Expire(start.Add(forgetAfter + time.Second))
 	if len(f.relays) != 1 {
 		t.Error("a relay that is gone is kept")
 	}
@@ -127,20 +127,20 @@
 func TestEndedCallsCountOnce(t *testing.T) {
 	var r Reports
 	var f Fleet
-	r.Receive(start, call("entry-1", fleetpb.Role_ROLE_ENTRY))
-	first, _ := f.Take(start, "control-1", r.Since(start, 0, nil))
-	r.Receive(start, ended("x", 3))
+	r.RecordCall(start, call("entry-1", fleetpb.Role_ROLE_ENTRY))
+	first, _ := f.ApplyRelayed(start, "control-1", r.Since(start, 0, nil))
+	r.RecordCall(start, ended("x", 3))
 	lost := r.Since(start, first, nil)
-	if _, uses := f.Take(start, "control-1", lost); len(uses) != 1 || uses[0].GetAnswered() != 3 {
+	if _, uses := f.ApplyRelayed(start, "control-1", lost); len(uses) != 1 || uses[0].GetAnswered() != 3 {
 		t.Fatalf("%v", uses)
 	}
 	// The sender has not heard the answer.
-	r.Receive(start, ended("x", 4))
-	second, uses := f.Take(start, "control-1", r.Since(start, first, nil))
+	r.RecordCall(start, ended("x", 4))
+	second, uses := f.ApplyRelayed(start, "control-1", r.Since(start, first, nil))
 	if len(uses) != 1 || uses[0].GetAnswered() != 4 {
 		t.Errorf("%v, want what is new", uses)
 	}
-	if again, uses := f.Take(start, "control-1", lost); len(uses) != 0 || again != second {
+	if again, uses := f.ApplyRelayed(start, "control-1", lost); len(uses) != 0 || again != second {
 		t.Errorf("an old message brought %v and %d", uses, again)
 	}
 	// Old ones have lost their weight.
@@ -153,18 +153,18 @@
 func TestAMessageWithoutItsBaseChangesNothing(t *testing.T) {
 	var r, restarted Reports
 	var f, receiver Fleet
-	r.Receive(start, call("entry-1", fleetpb.Role_ROLE_ENTRY))
-	acknowledged, _ := f.Take(start, "control-1", r.Since(start, 0, nil))
-	r.Receive(start, call("entry-2", fleetpb.Role_ROLE_ENTRY))
+	r.RecordCall(start, call("entry-1", fleetpb.Role_ROLE_ENTRY))
+	acknowledged, _ := f.ApplyRelayed(start, "control-1", r.Since(start, 0, nil))
+	r.RecordCall(start, call("entry-2", fleetpb.Role_ROLE_ENTRY))
 	change := r.Since(start, acknowledged, nil)
-	if got, _ := receiver.Take(start, "control-1", change); got != 0 || len(receiver.Instances(start, fleetpb.Role_ROLE_ENTRY, time.Hour)) > 0 {
+	if got, _ := receiver.ApplyRelayed(start, "control-1", change); got != 0 || len(receiver.Instances(start, fleetpb.Role_ROLE_ENTRY, time.Hour)) > 0 {
 		t.Errorf("acknowledged %d without a base", got)
 	}
-	restarted.Receive(start, call("entry-3", fleetpb.Role_ROLE_ENTRY))
-	if got, _ := f.Take(start, "control-1", restarted.Since(start, acknowledged, nil)); got != 0 || names(&f, start, fleetpb.Role_ROLE_ENTRY, time.Hour) != "entry-1 " {
+	restarted.RecordCall(start, call("entry-3", fleetpb.Role_ROLE_ENTRY))
+	if got, _ := f.ApplyRelayed(start, "control-1", restarted.Since(start, acknowledged, nil)); got != 0 || names(&f, start, fleetpb.Role_ROLE_ENTRY, time.Hour) != "entry-1 " {
 		t.Errorf("acknowledged %d of another process", got)
 	}
-	f.Take(start, "control-1", restarted.Since(start, 0, nil))
+	f.ApplyRelayed(start, "control-1", restarted.Since(start, 0, nil))
 	if got := names(&f, start, fleetpb.Role_ROLE_ENTRY, time.Hour); got != "entry-3 " {
 		t.Errorf("%q after a snapshot of the new process", got)
 	}
@@ -174,20 +174,20 @@
 func TestForgottenFollowersLeave(t *testing.T) {
 	var r Reports
 	var f Fleet
-	r.Receive(start, call("entry-1", fleetpb.Role_ROLE_ENTRY))
-	acknowledged, _ := f.Take(start, "control-1", r.Since(start, 0, nil))
+	r.RecordCall(start, call("entry-1", fleetpb.Role_ROLE_ENTRY))
+	acknowledged, _ := f.ApplyRelayed(start, "control-1", r.Since(start, 0, nil))
 	later := start.Add(forgetAfter + time.Second)
 	if m := r.Since(later, acknowledged, nil); len(m.GetLeft()) != 1 {
 		t.Fatalf("%v", m)
-	} else if f.Take(later, "control-1", m); len(f.Instances(later, fleetpb.Role_ROLE_ENTRY, time.Hour)) != 0 {
+	} else if f.ApplyRelayed(later, "control-1", m); len(f.Instances(later, fleetpb.Role_ROLE_ENTRY, time.Hour)) != 0 {
 		t.Error("an instance that is gone is still known")
 	}
 }
 
 func FuzzTake(f *testing.F) {
 	var r Reports
-	r.Receive(start, call("entry-1", fleetpb.Role_ROLE_ENTRY))
-	r.Receive(start, ended("x", 1))
+	r.RecordCall(start, call("entry-1", fleetpb.Role_ROLE_ENTRY))
+	r.RecordCall(start, ended("x", 1))
 	for _, acknowledged := range []uint64{0, 1} {
 		b, err := proto.Marshal(r.Since(start, acknowledged, nil))
 		if err != nil {
@@ -202,7 +202,7 @@
 		}
 		var fleet Fleet
 		for range 2 {
-			fleet.Take(start, "control-1", m)
+			fleet.ApplyRelayed(start, "control-1", m)
 		}
 		fleet.Instances(start, fleetpb.Role_ROLE_ENTRY, time.Hour)
 	})
--- a/rockbarrow/relay/reports.go
+++ b/rockbarrow/relay/reports.go
@@ -56,7 +56,7 @@
 }
 
 // Receive takes a call of an entry or store instance. Ended calls are relayed if the sender reports to this instance alone.
-func (r *Reports) Receive(now time.Time, req *fleetpb.WatchRequest) {
+func (r *Reports) RecordCall(now time.Time, req *fleetpb.WatchRequest) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.begin()
@@ -170,7 +170,7 @@
 }
 
 // Refresh counts all followers as heard now, after this process was stopped for a while.
-func (r *Reports) Refresh(now time.Time) {
+func (r *Reports) MarkAllHeard(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, f := range r.followers {
