--- a/rockbarrow/register/round.go
+++ b/rockbarrow/register/round.go
@@ -68,10 +68,10 @@
 	Proposed bool
 }
 
-func (Prepare) action() {}
-func (Accept) action()  {}
-func (Chosen) action()  {}
-func (Preempted) action()    {}
+func (Prepare) action()   {}
+func (Accept) action()    {}
+func (Chosen) action()    {}
+func (Preempted) action() {}
 
 // Round is one change of the register under one ballot.
 type Round struct {
