--- a/rockbarrow/controller/controller.go
+++ b/rockbarrow/controller/controller.go
@@ -29,7 +29,7 @@
 const keptDocuments = 8
 
 // List reads the list of endpoints, wherever it is kept.
-type List interface {
+type EndpointSource interface {
 	// Endpoints returns the whole list, which has no number yet, and how many calls that took.
 	Endpoints(ctx context.Context) (*fleetpb.EndpointList, error)
 }
@@ -56,23 +56,23 @@
 	Seeds []string
 	// FirstSeeds are the Seeds of the disk's first start, where the first value is voted on. None are
 	// the Seeds of today.
-	FirstSeeds []string
+	InitialSeeds []string
 	// Founder is true if the disk's first start was the very first one of the deployment.
 	Founder bool
 	// Losses is how many instances with disks may be lost at once.
-	Losses int
+	FaultTolerance int
 	// Domains are the failure domains of the deployment, which operators may evacuate.
-	Domains []string
+	FailureDomains []string
 	// DataDir holds the votes.
-	DataDir string
-	Pool    *dial.Pool
-	List    List
+	DataDir        string
+	Pool           *dial.Pool
+	EndpointSource EndpointSource
 	// ListCallsPerSecond is how many calls of all instances the list takes, zero if that is not bounded. ListAge is how
 	// old what is known of the list may get, zero for no bound.
-	ListCallsPerSecond float64
-	ListAge            time.Duration
+	MaxListCallsPerSecond float64
+	MaxListAge            time.Duration
 	// Reports asks endpoints for their starts. Without it they go by their ids alone.
-	Reports Reports
+	StartTimes StartTimeReader
 	// Decode reads a configuration. Without it no tables are made here, and documents
 	// are told to everyone.
 	Decode func(document []byte) (*fleetpb.Document, error)
@@ -145,12 +145,12 @@
 		Documents: document.Cache{Keep: keptDocuments, Log: c.Log},
 		Lists:     document.Cache{Keep: keptDocuments, Log: c.Log},
 	}
-	if len(c.FirstSeeds) == 0 {
-		c.FirstSeeds = c.Seeds
+	if len(c.InitialSeeds) == 0 {
+		c.InitialSeeds = c.Seeds
 	}
-	c.FirstSeeds = slices.Sorted(slices.Values(c.FirstSeeds))
+	c.InitialSeeds = slices.Sorted(slices.Values(c.InitialSeeds))
 	c.acceptor = register.Acceptor{
-		Storage: c.Self.GetStorage(), Founder: c.Founder, Seeds: c.FirstSeeds, FaultTolerance: c.Losses,
+		Storage: c.Self.GetStorage(), Founder: c.Founder, Seeds: c.InitialSeeds, FaultTolerance: c.FaultTolerance,
 	}
 	if record != nil {
 		c.watch.Documents.Add(record.GetState())
@@ -177,7 +177,7 @@
 	}
 	reader := &reader{controller: c}
 	go reader.loop(ctx)
-	if c.Reports != nil {
+	if c.StartTimes != nil {
 		go c.lives.loop(ctx)
 	}
 	d := &duties{controller: c}
@@ -192,7 +192,7 @@
 func (c *Controller) Watcher() *watch.Client { return c.watch }
 
 // Learned reports whether the instance knows a chosen state.
-func (c *Controller) Learned() bool { return c.State() != nil }
+func (c *Controller) HasState() bool { return c.State() != nil }
 
 // Endpoints returns the newest list and when it was read.
 func (c *Controller) Endpoints() *watch.Reading { return c.watch.List() }
--- a/rockbarrow/controller/controller_test.go
+++ b/rockbarrow/controller/controller_test.go
@@ -63,11 +63,11 @@
 	log.SetOutput(io.Discard)
 	pool := &dial.Pool{}
 	c := &Controller{
-		Self: p.member, Seeds: p.seeds, FirstSeeds: p.seeds, Founder: p.founder, Losses: 1, DataDir: p.dir, Pool: pool, List: p.list,
+		Self: p.member, Seeds: p.seeds, InitialSeeds: p.seeds, Founder: p.founder, FaultTolerance: 1, DataDir: p.dir, Pool: pool, EndpointSource: p.list,
 		Decode: decode, Log: logrus.NewEntry(log),
 	}
 	if p.reports != nil {
-		c.Reports = p.reports
+		c.StartTimes = p.reports
 	}
 	if err := c.Open(); err != nil {
 		p.t.Fatal(err)
@@ -117,7 +117,7 @@
 		p.start(listeners[i])
 	}
 	for _, p := range places {
-		await(t, func() bool { return p.controller.Learned() })
+		await(t, func() bool { return p.controller.HasState() })
 	}
 	return places
 }
--- a/rockbarrow/controller/duties.go
+++ b/rockbarrow/controller/duties.go
@@ -90,7 +90,7 @@
 		}
 		return
 	}
-	seed := slices.Contains(c.FirstSeeds, c.Self.GetAddress())
+	seed := slices.Contains(c.InitialSeeds, c.Self.GetAddress())
 	if first && seed || now.Sub(d.started) > anyoneAfter && rand.N(rarely) == 0 {
 		d.found(ctx, now)
 	}
@@ -144,7 +144,7 @@
 	if 2*len(heard) <= len(seeds) || len(heard) < len(seeds) && now.Sub(d.started) < seedsWithin {
 		return
 	}
-	voters := firstVoters(heard, c.control(now, leaderWithin), 2*c.Losses+1)
+	voters := firstVoters(heard, c.control(now, leaderWithin), 2*c.FaultTolerance+1)
 	d.change(ctx, "first voters", register.InitialState(voters, seeds))
 }
 
@@ -180,7 +180,7 @@
 		Stores:  c.presence.members(now, fleetpb.Role_ROLE_STORE, forgetAfter),
 		Control: c.presence.members(now, fleetpb.Role_ROLE_CONTROL, forgetAfter),
 		Domains: c.presence.domains(now, c.Self.GetFailureDomain()),
-		Copies:  2*c.Losses + 1,
+		Copies:  2*c.FaultTolerance + 1,
 		Settled: d.settled(now),
 		Self:    c.Self,
 		Ran:     now.Sub(d.started),
@@ -231,7 +231,7 @@
 	now := time.Now()
 	stores := c.presence.members(now, fleetpb.Role_ROLE_STORE, membership.PresentWithin)
 	_, err := c.Change(ctx, func(s *fleetpb.State) *fleetpb.State {
-		refused = membership.MayRetire(s, stores, name, c.Losses+1)
+		refused = membership.MayRetire(s, stores, name, c.FaultTolerance+1)
 		if refused != nil || slices.Contains(s.GetView().GetLeaving(), name) || slices.Contains(s.GetRetired(), name) {
 			return nil
 		}
@@ -245,7 +245,7 @@
 }
 
 // Retirement reports whether a store has been emptied.
-func (c *Controller) Retirement(ctx context.Context, name string) (done bool, err error) {
+func (c *Controller) Retired(ctx context.Context, name string) (done bool, err error) {
 	s, err := c.Read(ctx)
 	if err != nil {
 		return false, err
--- a/rockbarrow/controller/evacuations.go
+++ b/rockbarrow/controller/evacuations.go
@@ -45,7 +45,7 @@
 
 // evacuate changes the evacuations in force.
 func (c *Controller) evacuate(ctx context.Context, domain string, next func([]*fleetpb.Evacuation) []*fleetpb.Evacuation) error {
-	if !slices.Contains(c.Domains, domain) {
+	if !slices.Contains(c.FailureDomains, domain) {
 		return &UnknownDomainError{Name: domain}
 	}
 	_, err := c.Change(ctx, func(s *fleetpb.State) *fleetpb.State {
--- a/rockbarrow/controller/evacuations_test.go
+++ b/rockbarrow/controller/evacuations_test.go
@@ -25,7 +25,7 @@
 func TestEvacuationsAreKept(t *testing.T) {
 	core := newCore(t)
 	order := func(p *place, domain string, end bool) error {
-		p.controller.Domains = []string{"a", "b"}
+		p.controller.FailureDomains = []string{"a", "b"}
 		if end {
 			return p.controller.EndEvacuation(t.Context(), domain)
 		}
@@ -64,7 +64,7 @@
 // TestAnEvacuationThatIsNotKeptIsNotAcknowledged: by a minority, or of a domain that there is not.
 func TestAnEvacuationThatIsNotKeptIsNotAcknowledged(t *testing.T) {
 	core := newCore(t)
-	core[0].controller.Domains = []string{"a"}
+	core[0].controller.FailureDomains = []string{"a"}
 	var unknown *UnknownDomainError
 	if err := core[0].controller.Evacuate(t.Context(), "c"); !errors.As(err, &unknown) {
 		t.Errorf("%v", err)
--- a/rockbarrow/controller/founding_test.go
+++ b/rockbarrow/controller/founding_test.go
@@ -55,7 +55,7 @@
 	ctx, cancel := context.WithTimeout(t.Context(), formWithin)
 	defer cancel()
 	for _, p := range places {
-		for !p.controller.Learned() {
+		for !p.controller.HasState() {
 			if ctx.Err() != nil {
 				t.Fatalf("%s knows of no deployment", p.member.GetInstance())
 			}
--- a/rockbarrow/controller/lives.go
+++ b/rockbarrow/controller/lives.go
@@ -16,10 +16,10 @@
 )
 
 // Reports asks endpoints what they tell of themselves.
-type Reports interface {
+type StartTimeReader interface {
 	// Born returns when an endpoint started, in milliseconds since 1970 by its own clock, 0 if it does not tell it.
 	// An error says that it gave no answer.
-	Born(ctx context.Context, e *fleetpb.Endpoint) (uint64, error)
+	StartTime(ctx context.Context, e *fleetpb.Endpoint) (uint64, error)
 }
 
 const (
@@ -218,7 +218,7 @@
 	l.mu.Lock()
 	e := q.endpoint
 	l.mu.Unlock()
-	born, err := l.controller.Reports.Born(ctx, e)
+	born, err := l.controller.StartTimes.StartTime(ctx, e)
 	l.answer(time.Now(), q, e, born, err)
 }
 
--- a/rockbarrow/controller/lives_test.go
+++ b/rockbarrow/controller/lives_test.go
@@ -22,7 +22,7 @@
 	asked map[string]int
 }
 
-func (r *fakeReports) Born(_ context.Context, e *fleetpb.Endpoint) (uint64, error) {
+func (r *fakeReports) StartTime(_ context.Context, e *fleetpb.Endpoint) (uint64, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.asked[e.GetId()]++
--- a/rockbarrow/controller/reader.go
+++ b/rockbarrow/controller/reader.go
@@ -73,11 +73,11 @@
 // readInterval returns the age at which a list is read again that takes so many calls: a long one less often, since the
 // calls that it takes do not grow with it.
 func (c *Controller) readInterval(calls uint32) time.Duration {
-	if c.ListCallsPerSecond <= 0 || c.ListAge <= 0 {
+	if c.MaxListCallsPerSecond <= 0 || c.MaxListAge <= 0 {
 		return readEvery
 	}
-	needed := time.Duration(float64(calls) / (callsShare * c.ListCallsPerSecond) * float64(time.Second))
-	return max(readEvery, min(needed, time.Duration(ageShare*float64(c.ListAge))))
+	needed := time.Duration(float64(calls) / (callsShare * c.MaxListCallsPerSecond) * float64(time.Second))
+	return max(readEvery, min(needed, time.Duration(ageShare*float64(c.MaxListAge))))
 }
 
 func (r *reader) due(now time.Time) bool {
@@ -102,7 +102,7 @@
 	c := r.controller
 	// The list is at least as new as the moment when it was asked for.
 	asked := time.Now()
-	read, err := c.List.Endpoints(ctx)
+	read, err := c.EndpointSource.Endpoints(ctx)
 	if err != nil {
 		if !r.failing {
 			c.Log.WithError(err).Warn("the list of endpoints is not read")
--- a/rockbarrow/controller/rounds.go
+++ b/rockbarrow/controller/rounds.go
@@ -111,7 +111,7 @@
 func (c *Controller) seedMembers() []*fleetpb.Member {
 	heard := append(c.watch.Control(foundersWithin), c.Self)
 	var out []*fleetpb.Member
-	for _, address := range c.FirstSeeds {
+	for _, address := range c.InitialSeeds {
 		seed := &fleetpb.Member{Address: address}
 		for _, m := range heard {
 			if m.GetAddress() == address {
--- a/rockbarrow/controller/start_test.go
+++ b/rockbarrow/controller/start_test.go
@@ -22,7 +22,7 @@
 	pool := &dial.Pool{}
 	t.Cleanup(pool.Close)
 	c := &Controller{
-		Self: p.member, Seeds: p.seeds, Losses: 1, DataDir: p.dir, Pool: pool, List: p.list, Log: logrus.NewEntry(log),
+		Self: p.member, Seeds: p.seeds, FaultTolerance: 1, DataDir: p.dir, Pool: pool, EndpointSource: p.list, Log: logrus.NewEntry(log),
 	}
 	if err := c.Open(); err != nil {
 		t.Fatal(err)
@@ -37,7 +37,7 @@
 	put(t, core[0], 4, "four")
 	core[2].stop()
 	c := opened(t, core[2])
-	if c.Learned() {
+	if c.HasState() {
 		t.Fatal("a value that was accepted counts as chosen before anyone was asked")
 	}
 	c.runLearning(t.Context())
@@ -61,13 +61,13 @@
 
 // TestALongListIsReadLessOften: fifty calls for each reading used a fifth of all that the list takes.
 func TestALongListIsReadLessOften(t *testing.T) {
-	c := &Controller{ListCallsPerSecond: 320, ListAge: 5 * time.Second}
+	c := &Controller{MaxListCallsPerSecond: 320, MaxListAge: 5 * time.Second}
 	for _, test := range []struct {
 		calls uint32
 		least float64
 	}{{0, 0}, {1, 0}, {25, 0}, {50, 1.5}, {100, 1.5}, {1000, 1.5}} {
 		interval := c.readInterval(test.calls)
-		if interval < readEvery || interval.Seconds() < test.least || interval > c.ListAge/3 {
+		if interval < readEvery || interval.Seconds() < test.least || interval > c.MaxListAge/3 {
 			t.Errorf("%d calls each %v", test.calls, interval)
 		}
 	}
--- a/rockbarrow/controller/votes.go
+++ b/rockbarrow/controller/votes.go
@@ -27,7 +27,7 @@
 )
 
 // Used reports whether a data folder holds votes.
-func Used(dir string) (bool, error) {
+func HasVotes(dir string) (bool, error) {
 	used, err := durable.HasCell(dir, valueCell)
 	if used || err != nil {
 		return used, err
