--- a/rockbarrow/dispatch/desk.go
+++ b/rockbarrow/dispatch/desk.go
@@ -57,7 +57,7 @@
 // First says that the first token came.
 func (s *Seat) First() {
 	if s.first.CompareAndSwap(false, true) {
-		s.choice.Endpoint().FirstToken(s.choice.Lacking())
+		s.choice.Endpoint().FirstToken(s.choice.UncachedTokens())
 	}
 }
 
@@ -81,7 +81,7 @@
 	// Seed makes the draws repeatable.
 	Seed uint64
 	// Prefixes is what endpoints are known to hold.
-	Prefixes placement.Prefixes
+	Prefixes placement.PrefixIndex
 
 	fleet   atomic.Pointer[placement.Fleet]
 	retries admission.RetryBudget
@@ -139,7 +139,7 @@
 		Weight:   j.Weight,
 		MaxCalls: j.MaxCalls,
 		Class:    j.Request.Class.Model + "\x00" + j.Request.Class.Service + "\x00" + j.Request.Class.Binding,
-		Cost:     uint64(max(1, j.Request.Prompt+j.Request.Answer)),
+		Cost:     uint64(max(1, j.Request.PromptTokens+j.Request.OutputTokens)),
 		Attained: j.Attained,
 		Started:  j.Started,
 	})
--- a/rockbarrow/endpointlist/list.go
+++ b/rockbarrow/endpointlist/list.go
@@ -118,7 +118,7 @@
 	}
 	for _, i := range l.Endpoints {
 		if e := f.Endpoint(i.Name); e != nil && i.State != "live" {
-			e.Leave(true)
+			e.SetDraining(true)
 		}
 	}
 }
--- a/rockbarrow/engine/watch.go
+++ b/rockbarrow/engine/watch.go
@@ -180,17 +180,17 @@
 func (p *polled) heard(l Load) {
 	if l.Incarnation != p.incarnation {
 		if p.incarnation != "" {
-			p.watcher.Desk.Prefixes.Forget(p.endpoint.Name())
+			p.watcher.Desk.Prefixes.RemoveEndpoint(p.endpoint.Name())
 		}
 		p.incarnation = l.Incarnation
 		p.next = 0
-		p.endpoint.Leave(l.Leaving)
+		p.endpoint.SetDraining(l.Leaving)
 	}
 	if l.Leaving {
-		p.endpoint.Leave(true)
+		p.endpoint.SetDraining(true)
 	}
 	at := time.Now().Add(-time.Duration(l.AgeMS) * time.Millisecond)
-	p.endpoint.Heard(placement.NewReport(l.Running, l.WaitingPromptTokens, l.CacheTokensFree, at))
+	p.endpoint.SetLoadReport(placement.NewLoadReport(l.Running, l.WaitingPromptTokens, l.CacheTokensFree, at))
 }
 
 // learn follows the cache. Over a gap some knowledge is wrong until it is used,
@@ -209,7 +209,7 @@
 			p.watcher.Desk.Prefixes.Add(key, p.endpoint.Name())
 			continue
 		}
-		p.watcher.Desk.Prefixes.Drop(key, p.endpoint.Name())
+		p.watcher.Desk.Prefixes.Remove(key, p.endpoint.Name())
 	}
 }
 
--- a/rockbarrow/entry/evacuation_test.go
+++ b/rockbarrow/entry/evacuation_test.go
@@ -47,7 +47,7 @@
 		}
 		return out
 	}
-	places := func() int { return e.fleet.Load().Places(time.Now(), placement.Class{Service: "s"}, 1) }
+	places := func() int { return e.fleet.Load().Slots(time.Now(), placement.Class{Service: "s"}, 1) }
 	all := places()
 	if got := domains(); got["a"] == 0 {
 		t.Fatalf("%v", got)
--- a/rockbarrow/entry/exchange.go
+++ b/rockbarrow/entry/exchange.go
@@ -147,9 +147,9 @@
 		x.listAge = now.Sub(current.At()).Milliseconds()
 	}
 	return f.Choose(now, placement.Request{
-		Class:  placement.Class{Service: x.service.GetName()},
-		Prompt: int64(x.request.Prompt), Answer: int64(x.request.Most),
-		Last: x.last, Avoid: x.avoid, Domain: x.entry.Domain, AvoidDomains: x.entry.domains.avoid(now),
+		Class:        placement.Class{Service: x.service.GetName()},
+		PromptTokens: int64(x.request.Prompt), OutputTokens: int64(x.request.Most),
+		LastEndpoint: x.last, AvoidEndpoints: x.avoid, Domain: x.entry.Domain, AvoidDomains: x.entry.domains.avoid(now),
 	}, source())
 }
 
@@ -188,17 +188,17 @@
 		left := ctx.Err() != nil && time.Since(sent) < hungAfter
 		busy := errors.As(err, &notRun) && notRun.Busy
 		if !busy && !left {
-			p.Lost()
+			p.RecordConnectionLoss()
 		}
-		done(placement.Result{OK: busy || left, Refused: busy || left, Unreached: unreached})
+		done(placement.Result{OK: busy || left, Refused: busy || left, Unreachable: unreached})
 		x.avoid = append(x.avoid, x.endpoint)
 		return nil, nil, err
 	}
 	x.ran = true
 	if answer.Reconnected {
-		p.Lost()
+		p.RecordConnectionLoss()
 	}
-	p.Answered(time.Now())
+	p.RecordResponse(time.Now())
 	return answer, done, nil
 }
 
--- a/rockbarrow/entry/lives_test.go
+++ b/rockbarrow/entry/lives_test.go
@@ -118,11 +118,11 @@
 	e.hear(lifeOf(4, 1000))
 	failing := &fleetpb.EndpointLoads{ListNumber: 4, Running: []uint32{4}, Failing: []uint32{100}}
 	e.ReceiveLoads(failing)
-	before := e.fleet.Load().Places(time.Now(), placement.Class{Service: "s"}, 4)
+	before := e.fleet.Load().Slots(time.Now(), placement.Class{Service: "s"}, 4)
 	e.hear(lifeOf(5, 2000))
 	failing.ListNumber = 5
 	e.ReceiveLoads(failing)
-	after := e.fleet.Load().Places(time.Now(), placement.Class{Service: "s"}, 4)
+	after := e.fleet.Load().Slots(time.Now(), placement.Class{Service: "s"}, 4)
 	if before <= after {
 		t.Errorf("%d places while an ended life was told as full, %d while the present one is", before, after)
 	}
--- a/rockbarrow/entry/loads.go
+++ b/rockbarrow/entry/loads.go
@@ -18,12 +18,12 @@
 		return nil
 	}
 	var out []watch.Use
-	for _, p := range f.Used() {
-		u := p.Use()
-		if u == (placement.Use{}) {
+	for _, p := range f.UsedEndpoints() {
+		u := p.Usage()
+		if u == (placement.Usage{}) {
 			continue
 		}
-		out = append(out, watch.Use{Life: p.Life(), Running: u.Running, Answered: u.Answered, Failed: u.Failed, Lost: u.Lost})
+		out = append(out, watch.Use{Life: p.Life(), Running: u.Running, Answered: u.Answered, Failed: u.Failed, Lost: u.LostConnections})
 	}
 	return out
 }
@@ -36,7 +36,7 @@
 		return
 	}
 	list := f.reading.List().GetEndpoints()
-	loads := make([]placement.Load, 0, len(l.GetIndex()))
+	loads := make([]placement.RemoteLoad, 0, len(l.GetIndex()))
 	add := func(index, i int) bool {
 		if index >= len(list) || i >= len(l.GetRunning()) || i >= len(l.GetFailing()) {
 			return false
@@ -45,7 +45,7 @@
 		known := f.Endpoint(p.GetId())
 		// A list that lags, and what is told with it, may speak of a life that has ended.
 		if known != nil && known.Life().Same(life.Life{ID: p.GetId(), BornMS: p.GetBornMs()}) {
-			loads = append(loads, placement.Load{Endpoint: known, Running: l.GetRunning()[i], Failing: l.GetFailing()[i]})
+			loads = append(loads, placement.RemoteLoad{Endpoint: known, Running: l.GetRunning()[i], FailingPercent: l.GetFailing()[i]})
 		}
 		return true
 	}
@@ -64,7 +64,7 @@
 		e.Log.WithField("list", l.GetListNumber()).Warn("loads of another list were sent")
 		return
 	}
-	f.SetLoads(time.Now(), loads)
+	f.SetRemoteLoads(time.Now(), loads)
 }
 
 // CustomerUses returns how many requests of each customer were let in, as package watch asks for them: within
--- a/rockbarrow/entry/pass.go
+++ b/rockbarrow/entry/pass.go
@@ -28,7 +28,7 @@
 // lost notes that the endpoint ended the answer midway, unless the client has left.
 func (x *exchange) lost(ctx context.Context) {
 	if ctx.Err() == nil {
-		x.place.Lost()
+		x.place.RecordConnectionLoss()
 	}
 }
 
--- a/rockbarrow/entry/updates.go
+++ b/rockbarrow/entry/updates.go
@@ -172,7 +172,7 @@
 
 // listed returns the endpoints that have changed from one fleet, which may be nil, to the next and may get new requests,
 // and the ids of those that may not any more.
-func (e *Entry) listed(now time.Time, old, next *fleet) (changed []placement.Listed, gone []string) {
+func (e *Entry) listed(now time.Time, old, next *fleet) (changed []placement.ListedEndpoint, gone []string) {
 	var present, absent []*fleetpb.Endpoint
 	to := next.reading.Version()
 	catalog.Compare(old.version(), to, func(before, after *fleetpb.Endpoint) {
@@ -203,7 +203,7 @@
 			continue
 		}
 		may[p.GetId()] = true
-		changed = append(changed, placement.Listed{BornMS: lives[p.GetId()].BornMS, Config: &configpb.Endpoint{
+		changed = append(changed, placement.ListedEndpoint{BornMS: lives[p.GetId()].BornMS, Config: &configpb.Endpoint{
 			Name: p.GetId(), Domain: p.GetFailureDomain(), Address: p.GetAddress(),
 			Service: p.GetService(), MaxCalls: p.GetSlots(),
 		}})
--- a/rockbarrow/host/sending.go
+++ b/rockbarrow/host/sending.go
@@ -79,11 +79,11 @@
 func (w *sending) result(out Outcome) placement.Result {
 	a := out.Answered
 	return placement.Result{
-		OK:       a != nil || out.NotRun && out.Final || w.ctx.Err() == context.Canceled,
-		Computed: int64(a.GetPromptTokens()) - int64(a.GetCachedTokens()),
-		First:    out.First,
-		All:      out.All,
-		Answer:   int64(a.GetAnswerTokens()),
+		OK:               a != nil || out.NotRun && out.Final || w.ctx.Err() == context.Canceled,
+		ComputedTokens:   int64(a.GetPromptTokens()) - int64(a.GetCachedTokens()),
+		TimeToFirstToken: out.First,
+		Duration:         out.All,
+		OutputTokens:     int64(a.GetAnswerTokens()),
 	}
 }
 
@@ -104,7 +104,7 @@
 }
 
 func reasonOf(c placement.Choice) string {
-	return fmt.Sprintf("expected %.1f ms, %d prompt tokens held there, %d to compute", c.CostMS(), c.Cached(), c.Lacking())
+	return fmt.Sprintf("expected %.1f ms, %d prompt tokens held there, %d to compute", c.CostMS(), c.CachedTokens(), c.UncachedTokens())
 }
 
 // release frees the memory that an engine holds for an ended run.
--- a/rockbarrow/placement/baseline.go
+++ b/rockbarrow/placement/baseline.go
@@ -13,7 +13,7 @@
 	for i := range uint64(len(list)) {
 		e := list[(start+i)%uint64(len(list))]
 		if e.open(now) && !avoided(req, e) {
-			return Choice{endpoint: e, lacking: req.Prompt}, true
+			return Choice{endpoint: e, lacking: req.PromptTokens}, true
 		}
 	}
 	return Choice{}, false
@@ -33,15 +33,15 @@
 			best = e
 		}
 	}
-	return Choice{endpoint: best, lacking: req.Prompt}, best != nil
+	return Choice{endpoint: best, lacking: req.PromptTokens}, best != nil
 }
 
 // sticky stays with the run's last endpoint, or takes the least loaded.
 func (f *Fleet) sticky(now int64, list []*Endpoint, req Request) (Choice, bool) {
-	if e := f.Endpoint(req.Last.ID); e != nil && e.Life().Same(req.Last) && e.open(now) && !avoided(req, e) {
+	if e := f.Endpoint(req.LastEndpoint.ID); e != nil && e.Life().Same(req.LastEndpoint) && e.open(now) && !avoided(req, e) {
 		for _, o := range list {
 			if o == e {
-				return Choice{endpoint: e, lacking: req.Prompt}, true
+				return Choice{endpoint: e, lacking: req.PromptTokens}, true
 			}
 		}
 	}
--- a/rockbarrow/placement/class.go
+++ b/rockbarrow/placement/class.go
@@ -54,7 +54,7 @@
 // configured endpoint is allowed. Endpoints that did not change since an earlier
 // fleet, which may be nil, keep what is known of them. One that has started again since begins
 // with nothing but a time to warm up, as after an ejection.
-func NewServiceFleet(now time.Time, endpoints []Listed, p Policy, old *Fleet) *Fleet {
+func NewServiceFleet(now time.Time, endpoints []ListedEndpoint, p Policy, old *Fleet) *Fleet {
 	f := nextFleet(p, old)
 	f.classes = map[Class]*members{}
 	for _, l := range endpoints {
@@ -69,7 +69,7 @@
 
 // Next returns the fleet after some endpoints have changed or come, and others, by name, have gone. It copies pointers
 // to the others. The fleet is one that [NewServiceFleet] has made.
-func (f *Fleet) Next(now time.Time, changed []Listed, gone []string) *Fleet {
+func (f *Fleet) Next(now time.Time, changed []ListedEndpoint, gone []string) *Fleet {
 	next := nextFleet(f.policy, f)
 	var came []*Endpoint
 	left := map[string]bool{}
--- a/rockbarrow/placement/cost.go
+++ b/rockbarrow/placement/cost.go
@@ -85,7 +85,7 @@
 		if e == nil || !has(list, e) || holds(out, e) || len(out) == cap(out) {
 			continue
 		}
-		out = append(out, held{endpoint: e, tokens: min(h.Tokens, req.Prompt)})
+		out = append(out, held{endpoint: e, tokens: min(h.Tokens, req.PromptTokens)})
 	}
 	return out
 }
@@ -101,12 +101,12 @@
 
 // price is the expected cost of a call at an endpoint, in milliseconds.
 func (f *Fleet) price(now int64, e *Endpoint, req Request, has, most int64) Choice {
-	lacking := req.Prompt - has
+	lacking := req.PromptTokens - has
 	running, waiting, free := e.load(now)
 	prefill := speed(&e.prefill, defaultPrefill)
 	step := speed(&e.step, defaultStep)
 	batch := 1 + running/float64(e.maxCalls())
-	time := (waiting+float64(lacking))*prefill + float64(req.Answer)*step*batch
+	time := (waiting+float64(lacking))*prefill + float64(req.OutputTokens)*step*batch
 	again := float64(max(0, most-has)) * prefill
 	thrown := math.Max(0, float64(lacking)-free) * prefill
 	cost := f.weights.Latency*time + f.weights.Cache*(again+thrown)
--- a/rockbarrow/placement/endpoint.go
+++ b/rockbarrow/placement/endpoint.go
@@ -53,7 +53,7 @@
 	limit atomic.Int64
 	// prefill and step are measured speeds in microseconds, as float bits.
 	prefill, step, best atomic.Uint64
-	report              atomic.Pointer[Report]
+	report              atomic.Pointer[LoadReport]
 	leaving             atomic.Bool
 	failures            atomic.Int64
 	ejections           atomic.Int64
@@ -78,10 +78,10 @@
 const silentAfter = 1200 * time.Millisecond
 
 // Answered notes that the endpoint has begun to answer a call.
-func (e *Endpoint) Answered(now time.Time) { e.sign.Store(now.UnixNano()) }
+func (e *Endpoint) RecordResponse(now time.Time) { e.sign.Store(now.UnixNano()) }
 
 // Lost notes that a call, or a connection at rest, ended by no answer: the endpoint may have started again.
-func (e *Endpoint) Lost() { e.lost.Add(1) }
+func (e *Endpoint) RecordConnectionLoss() { e.lost.Add(1) }
 
 // silent reports whether the endpoint has calls and has answered none for long: it
 // hangs or is cut off, whatever its health says.
@@ -90,7 +90,7 @@
 }
 
 // Report is an endpoint's own word on its load, which arrives with a lag.
-type Report struct {
+type LoadReport struct {
 	running       int
 	waitingTokens int
 	cacheFree     int
@@ -100,11 +100,11 @@
 
 // NewReport returns a report: calls running and prompt tokens waiting there
 // from all instances, and tokens of cache that are free.
-func NewReport(running, waitingTokens, cacheFree int, at time.Time) *Report {
-	return &Report{running: running, waitingTokens: waitingTokens, cacheFree: cacheFree, at: at}
+func NewLoadReport(running, waitingTokens, cacheFree int, at time.Time) *LoadReport {
+	return &LoadReport{running: running, waitingTokens: waitingTokens, cacheFree: cacheFree, at: at}
 }
 
-func newEndpoint(l Listed) *Endpoint {
+func newEndpoint(l ListedEndpoint) *Endpoint {
 	c := l.Config
 	e := &Endpoint{name: c.GetName(), domain: c.GetDomain(), config: c}
 	e.born.Store(l.BornMS)
@@ -125,19 +125,19 @@
 func (e *Endpoint) Config() *configpb.Endpoint { return e.config }
 
 // Underway returns the number of own calls there.
-func (e *Endpoint) Underway() int64 { return e.underway.Load() }
+func (e *Endpoint) InFlight() int64 { return e.underway.Load() }
 
 // Limit returns how many own calls may be there now.
 func (e *Endpoint) Limit() int64 { return max(1, e.limit.Load()/1000) }
 
 // Leave marks the endpoint as leaving, or back in a new life.
-func (e *Endpoint) Leave(leaving bool) { e.leaving.Store(leaving) }
+func (e *Endpoint) SetDraining(leaving bool) { e.leaving.Store(leaving) }
 
 // Leaving reports whether the endpoint takes nothing new.
-func (e *Endpoint) Leaving() bool { return e.leaving.Load() || e.config.GetDraining() }
+func (e *Endpoint) Draining() bool { return e.leaving.Load() || e.config.GetDraining() }
 
 // Heard stores a load report.
-func (e *Endpoint) Heard(r *Report) {
+func (e *Endpoint) SetLoadReport(r *LoadReport) {
 	r.own = e.underway.Load()
 	e.report.Store(r)
 }
@@ -151,7 +151,7 @@
 
 // open reports whether the endpoint may get a call now.
 func (e *Endpoint) open(now int64) bool {
-	if e.Leaving() || now < e.ejectedUntil.Load() {
+	if e.Draining() || now < e.ejectedUntil.Load() {
 		return false
 	}
 	return e.underway.Load() < e.share(now)
@@ -192,15 +192,15 @@
 	Refused bool
 	// Unreached is true if the network said nothing at all, so that the next calls
 	// would fail in the same way.
-	Unreached bool
+	Unreachable bool
 	// Prompt is the uncached prompt that the choice counted on.
-	Prompt int64
+	UncachedTokens int64
 	// Computed is how many prompt tokens were computed.
-	Computed int64
+	ComputedTokens int64
 	// First is the time to the first token, All to the last; zero if none came.
-	First, All time.Duration
+	TimeToFirstToken, Duration time.Duration
 	// Answer is the number of answer tokens.
-	Answer int64
+	OutputTokens int64
 }
 
 // FirstToken takes a call's prompt off the endpoint's account.
@@ -211,7 +211,7 @@
 	e.underway.Add(-1)
 	if !r.OK {
 		e.failed.Add(1)
-		e.eject(now, r.Unreached)
+		e.eject(now, r.Unreachable)
 		return
 	}
 	if !r.Refused {
@@ -219,11 +219,11 @@
 	}
 	e.failures.Store(0)
 	e.ejections.Store(0)
-	if r.First > 0 && r.Computed > 16 {
-		smooth(&e.prefill, float64(r.First.Microseconds())/float64(r.Computed))
+	if r.TimeToFirstToken > 0 && r.ComputedTokens > 16 {
+		smooth(&e.prefill, float64(r.TimeToFirstToken.Microseconds())/float64(r.ComputedTokens))
 	}
-	if r.Answer > 1 && r.All > r.First {
-		smooth(&e.step, float64((r.All-r.First).Microseconds())/float64(r.Answer-1))
+	if r.OutputTokens > 1 && r.Duration > r.TimeToFirstToken {
+		smooth(&e.step, float64((r.Duration-r.TimeToFirstToken).Microseconds())/float64(r.OutputTokens-1))
 	}
 	e.adapt(r)
 }
@@ -231,10 +231,10 @@
 // adapt grows the limit by a little with each call and shrinks it when steps
 // take several times their best.
 func (e *Endpoint) adapt(r Result) {
-	if r.Answer <= 1 {
+	if r.OutputTokens <= 1 {
 		return
 	}
-	step := float64((r.All - r.First).Microseconds()) / float64(r.Answer-1)
+	step := float64((r.Duration - r.TimeToFirstToken).Microseconds()) / float64(r.OutputTokens-1)
 	best := math.Float64frombits(e.best.Load())
 	if best == 0 || step < best {
 		e.best.Store(math.Float64bits(step))
--- a/rockbarrow/placement/fleet.go
+++ b/rockbarrow/placement/fleet.go
@@ -50,13 +50,13 @@
 type Request struct {
 	Class Class
 	// Prompt and Answer are expected tokens.
-	Prompt, Answer int64
+	PromptTokens, OutputTokens int64
 	// Prefixes are what endpoints hold of the prompt, the longest for each.
-	Prefixes []Held
+	Prefixes []CachedPrefix
 	// Last is the endpoint of the run's last answer, without an id if there is none.
-	Last life.Life
+	LastEndpoint life.Life
 	// Avoid are endpoints that failed the call.
-	Avoid []life.Life
+	AvoidEndpoints []life.Life
 	// Domain is the own failure domain, and AvoidDomains those that are likely to
 	// be out of reach, for Spread.
 	Domain       string
@@ -64,7 +64,7 @@
 }
 
 // Held says how many tokens of a prompt an endpoint's cache holds.
-type Held struct {
+type CachedPrefix struct {
 	Endpoint string
 	Tokens   int64
 }
@@ -81,10 +81,10 @@
 func (c Choice) Endpoint() *Endpoint { return c.endpoint }
 
 // Lacking returns the prompt tokens that the endpoint has to compute.
-func (c Choice) Lacking() int64 { return c.lacking }
+func (c Choice) UncachedTokens() int64 { return c.lacking }
 
 // Cached returns the prompt tokens that the endpoint is believed to hold.
-func (c Choice) Cached() int64 { return c.cached }
+func (c Choice) CachedTokens() int64 { return c.cached }
 
 // CostMS returns the expected cost in milliseconds.
 func (c Choice) CostMS() float64 { return c.cost }
@@ -109,7 +109,7 @@
 func NewFleet(s *control.Snapshot, w Weights, p Policy, old *Fleet) *Fleet {
 	f := &Fleet{weights: w, policy: p, classes: map[Class]*members{}, turn: &turn{}, known: &known{}}
 	for _, c := range s.Document().GetEndpoints() {
-		f.endpoints = append(f.endpoints, carry(time.Time{}, Listed{Config: c}, old))
+		f.endpoints = append(f.endpoints, carry(time.Time{}, ListedEndpoint{Config: c}, old))
 	}
 	f.endpoints = sorted(f.endpoints)
 	for _, b := range s.Document().GetBindings() {
@@ -120,7 +120,7 @@
 
 // carry keeps an endpoint's knowledge over a change of its limits, but not of its life or
 // its address, behind which another back end stands.
-func carry(now time.Time, l Listed, old *Fleet) *Endpoint {
+func carry(now time.Time, l ListedEndpoint, old *Fleet) *Endpoint {
 	o := l.known(old)
 	if o == nil {
 		return newEndpoint(l)
@@ -149,7 +149,7 @@
 
 // known returns what an earlier fleet, which may be nil, knows of the id with the same service behind the same address,
 // or nil.
-func (l Listed) known(old *Fleet) *Endpoint {
+func (l ListedEndpoint) known(old *Fleet) *Endpoint {
 	if old == nil {
 		return nil
 	}
@@ -241,7 +241,7 @@
 
 // avoided reports whether a call must not go to an endpoint that has failed it.
 func avoided(req Request, e *Endpoint) bool {
-	for _, a := range req.Avoid {
+	for _, a := range req.AvoidEndpoints {
 		if a.Same(e.Life()) {
 			return true
 		}
--- a/rockbarrow/placement/fleet_test.go
+++ b/rockbarrow/placement/fleet_test.go
@@ -35,7 +35,7 @@
 		r := rand.New(rand.NewPCG(1, 1))
 		now := time.Unix(1000, 0)
 		for range 200 {
-			c, ok := f.Choose(now, Request{Class: class, Prompt: 100, Answer: 10, Last: life.Life{ID: "e002"}, Prefixes: []Held{{Endpoint: "e002", Tokens: 100}}}, r)
+			c, ok := f.Choose(now, Request{Class: class, PromptTokens: 100, OutputTokens: 10, LastEndpoint: life.Life{ID: "e002"}, Prefixes: []CachedPrefix{{Endpoint: "e002", Tokens: 100}}}, r)
 			if !ok {
 				break
 			}
@@ -50,12 +50,12 @@
 	f := fleet(3, Weights{Latency: 1}, Cost)
 	r := rand.New(rand.NewPCG(1, 1))
 	now := time.Unix(1000, 0)
-	req := Request{Class: class, Prompt: 2000, Answer: 10, Prefixes: []Held{{Endpoint: "e001", Tokens: 1900}}}
+	req := Request{Class: class, PromptTokens: 2000, OutputTokens: 10, Prefixes: []CachedPrefix{{Endpoint: "e001", Tokens: 1900}}}
 	c, _ := f.Choose(now, req, r)
 	if c.Endpoint().Name() != "e001" {
 		t.Fatalf("chose %s, want e001, which holds the prefix", c.Endpoint().Name())
 	}
-	f.Endpoint("e001").Heard(NewReport(40, 20_000, 0, now))
+	f.Endpoint("e001").SetLoadReport(NewLoadReport(40, 20_000, 0, now))
 	c, _ = f.Choose(now, req, r)
 	if c.Endpoint().Name() != "e000" {
 		t.Fatalf("chose %s behind 20000 waiting tokens, want e000", c.Endpoint().Name())
@@ -66,8 +66,8 @@
 	f := fleet(3, Weights{Latency: 1, Cache: 20}, Cost)
 	r := rand.New(rand.NewPCG(1, 1))
 	now := time.Unix(1000, 0)
-	f.Endpoint("e001").Heard(NewReport(40, 20_000, 0, now))
-	req := Request{Class: class, Prompt: 2000, Answer: 10, Prefixes: []Held{{Endpoint: "e001", Tokens: 1900}}}
+	f.Endpoint("e001").SetLoadReport(NewLoadReport(40, 20_000, 0, now))
+	req := Request{Class: class, PromptTokens: 2000, OutputTokens: 10, Prefixes: []CachedPrefix{{Endpoint: "e001", Tokens: 1900}}}
 	c, _ := f.Choose(now, req, r)
 	if c.Endpoint().Name() != "e001" {
 		t.Fatalf("chose %s, want e001 when waste weighs more", c.Endpoint().Name())
@@ -78,9 +78,9 @@
 	f := fleet(3, Weights{Latency: 1}, Cost)
 	r := rand.New(rand.NewPCG(1, 1))
 	now := time.Unix(1000, 0)
-	f.Endpoint("e000").Heard(NewReport(40, 20_000, 0, now.Add(-time.Minute)))
-	f.Endpoint("e001").Heard(NewReport(1, 500, 0, now))
-	c, _ := f.Choose(now, Request{Class: class, Prompt: 100, Answer: 10}, r)
+	f.Endpoint("e000").SetLoadReport(NewLoadReport(40, 20_000, 0, now.Add(-time.Minute)))
+	f.Endpoint("e001").SetLoadReport(NewLoadReport(1, 500, 0, now))
+	c, _ := f.Choose(now, Request{Class: class, PromptTokens: 100, OutputTokens: 10}, r)
 	if c.Endpoint().Name() != "e000" {
 		t.Fatalf("chose %s, want e000, whose report is too old to count", c.Endpoint().Name())
 	}
@@ -118,9 +118,9 @@
 	e := f.Endpoint("e000")
 	now := time.Unix(1000, 0)
 	e.underway.Add(61)
-	e.Done(now, Result{OK: true, First: time.Millisecond, All: 11 * time.Millisecond, Answer: 11})
+	e.Done(now, Result{OK: true, TimeToFirstToken: time.Millisecond, Duration: 11 * time.Millisecond, OutputTokens: 11})
 	for range 60 {
-		e.Done(now, Result{OK: true, First: time.Millisecond, All: 101 * time.Millisecond, Answer: 11})
+		e.Done(now, Result{OK: true, TimeToFirstToken: time.Millisecond, Duration: 101 * time.Millisecond, OutputTokens: 11})
 	}
 	if got := e.Limit(); got > 8 {
 		t.Fatalf("limit %d after sixty steps at ten times the best, want 8 or less", got)
@@ -128,7 +128,7 @@
 }
 
 func TestPrefixesFollowDispatchesAndEvents(t *testing.T) {
-	var p Prefixes
+	var p PrefixIndex
 	bounds := Boundaries([]*recordpb.Message{{Role: "system", Content: "rules of the club"}, {Role: "user", Content: "hello"}})
 	p.Add(bounds[0].Key, "e1")
 	p.Add(bounds[1].Key, "e2")
@@ -136,8 +136,8 @@
 	if len(got) != 2 || got[0].Endpoint != "e2" || got[1].Endpoint != "e1" || got[0].Tokens <= got[1].Tokens {
 		t.Fatalf("found %v, want e2 with more tokens than e1", got)
 	}
-	p.Drop(bounds[1].Key, "e2")
-	p.Forget("e1")
+	p.Remove(bounds[1].Key, "e2")
+	p.RemoveEndpoint("e1")
 	if got := p.Find(bounds); len(got) != 0 {
 		t.Fatalf("found %v after the drops, want none", got)
 	}
@@ -148,12 +148,12 @@
 	f := fleet(1350, Weights{Latency: 1, Cache: 1}, Cost)
 	now := time.Unix(1000, 0)
 	for _, e := range f.Candidates(class) {
-		e.Heard(NewReport(3, 100, 50_000, now))
+		e.SetLoadReport(NewLoadReport(3, 100, 50_000, now))
 	}
 	if n := len(f.Candidates(class)); n != 900 {
 		b.Fatalf("%d candidates, want 900", n)
 	}
-	req := Request{Class: class, Prompt: 2000, Answer: 100, Prefixes: []Held{{Endpoint: "e001", Tokens: 1900}, {Endpoint: "e007", Tokens: 300}}}
+	req := Request{Class: class, PromptTokens: 2000, OutputTokens: 100, Prefixes: []CachedPrefix{{Endpoint: "e001", Tokens: 1900}, {Endpoint: "e007", Tokens: 300}}}
 	b.ReportAllocs()
 	b.RunParallel(func(pb *testing.PB) {
 		r := rand.New(rand.NewPCG(1, 1))
@@ -162,7 +162,7 @@
 			if !ok {
 				b.Fatal("no seat")
 			}
-			c.Endpoint().FirstToken(c.Lacking())
+			c.Endpoint().FirstToken(c.UncachedTokens())
 			c.Endpoint().underway.Add(-1)
 		}
 	})
@@ -172,9 +172,9 @@
 	for _, p := range []Policy{Cost, RoundRobin, LeastLoaded, Sticky} {
 		f := fleet(6, Weights{Latency: 1}, p)
 		r := rand.New(rand.NewPCG(1, 1))
-		f.Endpoint("e001").Leave(true)
+		f.Endpoint("e001").SetDraining(true)
 		for range 100 {
-			c, ok := f.Choose(time.Unix(1000, 0), Request{Class: class, Last: life.Life{ID: "e001"}, Prefixes: []Held{{Endpoint: "e001", Tokens: 9}}, Prompt: 9}, r)
+			c, ok := f.Choose(time.Unix(1000, 0), Request{Class: class, LastEndpoint: life.Life{ID: "e001"}, Prefixes: []CachedPrefix{{Endpoint: "e001", Tokens: 9}}, PromptTokens: 9}, r)
 			if ok && c.Endpoint().Name() == "e001" {
 				t.Fatalf("policy %d chose a leaving endpoint", p)
 			}
--- a/rockbarrow/placement/known.go
+++ b/rockbarrow/placement/known.go
@@ -42,20 +42,20 @@
 }
 
 // Used returns the endpoints that have had calls from here.
-func (f *Fleet) Used() []*Endpoint {
+func (f *Fleet) UsedEndpoints() []*Endpoint {
 	used, _ := f.known.lists()
 	return used
 }
 
 // Load is what other instances tell of an endpoint: their calls under way, and the share of all calls that failed
 // lately in percent.
-type Load struct {
-	Endpoint         *Endpoint
-	Running, Failing uint32
+type RemoteLoad struct {
+	Endpoint                *Endpoint
+	Running, FailingPercent uint32
 }
 
 // SetLoads takes what other instances tell of endpoints; they have no calls at the others.
-func (f *Fleet) SetLoads(now time.Time, loads []Load) {
+func (f *Fleet) SetRemoteLoads(now time.Time, loads []RemoteLoad) {
 	k := f.known
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -64,7 +64,7 @@
 	}
 	k.loaded = make([]*Endpoint, 0, len(loads))
 	for _, l := range loads {
-		l.Endpoint.setOthers(now, l.Running, l.Failing)
+		l.Endpoint.setOthers(now, l.Running, l.FailingPercent)
 		k.loaded = append(k.loaded, l.Endpoint)
 	}
 }
@@ -72,7 +72,7 @@
 // Places returns how many calls this instance may have at the usable endpoints of a
 // service, of which there are so many instances: what others leave, and at least an even
 // share, since others may not have heard of this instance's need.
-func (f *Fleet) Places(now time.Time, of Class, instances int) int {
+func (f *Fleet) Slots(now time.Time, of Class, instances int) int {
 	c := f.classes[of]
 	if c == nil {
 		return 0
@@ -98,5 +98,5 @@
 
 // isUsable reports whether an endpoint has places for calls.
 func (e *Endpoint) isUsable(now int64) bool {
-	return !e.Leaving() && now >= e.ejectedUntil.Load() && !e.silent(now)
+	return !e.Draining() && now >= e.ejectedUntil.Load() && !e.silent(now)
 }
--- a/rockbarrow/placement/lives_test.go
+++ b/rockbarrow/placement/lives_test.go
@@ -13,11 +13,11 @@
 )
 
 // livesOf is a list of n endpoints that started at a time.
-func livesOf(n int, bornMS uint64) []Listed {
-	var list []Listed
+func livesOf(n int, bornMS uint64) []ListedEndpoint {
+	var list []ListedEndpoint
 	for i := range n {
 		name := fmt.Sprintf("e%04d", i)
-		list = append(list, Listed{BornMS: bornMS, Config: &configpb.Endpoint{
+		list = append(list, ListedEndpoint{BornMS: bornMS, Config: &configpb.Endpoint{
 			Name: name, Domain: fmt.Sprint(i % 3), Service: "s", MaxCalls: 64, Address: name,
 		}})
 	}
@@ -44,8 +44,8 @@
 	before.enter(now.UnixNano(), 0)
 	before.Done(now, Result{})
 	before.setOthers(now, 64, 90)
-	if !next.open(now.UnixNano()) || next.Use() != (Use{}) || next.taken(now.UnixNano()) != 0 || next.others.failingAt(now.UnixNano()) != 0 {
-		t.Errorf("the new life has %+v", next.Use())
+	if !next.open(now.UnixNano()) || next.Usage() != (Usage{}) || next.taken(now.UnixNano()) != 0 || next.others.failingAt(now.UnixNano()) != 0 {
+		t.Errorf("the new life has %+v", next.Usage())
 	}
 }
 
@@ -82,7 +82,7 @@
 // TestACallMayGoToTheNextLifeOfAnEndpointThatFailedIt: it has nothing to do with the failure.
 func TestACallMayGoToTheNextLifeOfAnEndpointThatFailedIt(t *testing.T) {
 	now, r := time.Unix(100, 0), rand.New(rand.NewPCG(1, 1))
-	req := Request{Class: Class{Service: "s"}, Avoid: []life.Life{{ID: "e0000", BornMS: 1000}}}
+	req := Request{Class: Class{Service: "s"}, AvoidEndpoints: []life.Life{{ID: "e0000", BornMS: 1000}}}
 	for born, want := range map[uint64]bool{0: false, 1000: false, 2000: true} {
 		if _, ok := NewServiceFleet(time.Time{}, livesOf(1, born), Spread, nil).Choose(now, req, r); ok != want {
 			t.Errorf("born %d: chosen is %v, want %v", born, ok, want)
@@ -96,7 +96,7 @@
 	for name, last := range map[string]life.Life{"new": {}, "stays": {ID: "e0500", BornMS: 1000}} {
 		b.Run(name, func(b *testing.B) {
 			r := rand.New(rand.NewPCG(1, 1))
-			req := Request{Class: Class{Service: "s"}, Domain: "1", Prompt: 2000, Last: last}
+			req := Request{Class: Class{Service: "s"}, Domain: "1", PromptTokens: 2000, LastEndpoint: last}
 			for b.Loop() {
 				c, ok := f.Choose(now, req, r)
 				if !ok {
--- a/rockbarrow/placement/others.go
+++ b/rockbarrow/placement/others.go
@@ -58,17 +58,17 @@
 }
 
 // Use is one instance's calls at an endpoint since it knows of it.
-type Use struct {
+type Usage struct {
 	// Running are under way; Answered and Failed have ended.
 	Running, Answered, Failed uint64
 	// Lost counts calls and connections that ended by no answer.
-	Lost uint64
+	LostConnections uint64
 }
 
 // Use returns the own calls.
-func (e *Endpoint) Use() Use {
-	return Use{
+func (e *Endpoint) Usage() Usage {
+	return Usage{
 		Running:  uint64(max(0, e.underway.Load())),
-		Answered: e.answered.Load(), Failed: e.failed.Load(), Lost: e.lost.Load(),
+		Answered: e.answered.Load(), Failed: e.failed.Load(), LostConnections: e.lost.Load(),
 	}
 }
--- a/rockbarrow/placement/others_test.go
+++ b/rockbarrow/placement/others_test.go
@@ -43,7 +43,7 @@
 func TestAProgramLeavesAFailingEndpoint(t *testing.T) {
 	f, r, now := spreadFleet(20), rand.New(rand.NewPCG(1, 1)), time.Unix(100, 0)
 	req := spreadRequest()
-	req.Last = life.Life{ID: "b1"}
+	req.LastEndpoint = life.Life{ID: "b1"}
 	f.Endpoint("b1").setOthers(now, 0, 10)
 	if c, _ := f.Choose(now, req, r); c.Endpoint().Name() != "b1" {
 		t.Error("a program left its endpoint on account of a few failures")
@@ -83,13 +83,13 @@
 func TestUseCountsHowCallsEnded(t *testing.T) {
 	f, r, now := spreadFleet(6), rand.New(rand.NewPCG(1, 1)), time.Unix(100, 0)
 	req := spreadRequest()
-	req.Last = life.Life{ID: "a1"}
+	req.LastEndpoint = life.Life{ID: "a1"}
 	for _, result := range []Result{{OK: true}, {}, {OK: true, Refused: true}} {
 		c, _ := f.Choose(now, req, r)
 		c.Endpoint().Done(now, result)
 	}
 	f.Choose(now, req, r)
-	if got, want := f.Endpoint("a1").Use(), (Use{Running: 1, Answered: 1, Failed: 1}); got != want {
+	if got, want := f.Endpoint("a1").Usage(), (Usage{Running: 1, Answered: 1, Failed: 1}); got != want {
 		t.Errorf("%+v, want %+v", got, want)
 	}
 }
@@ -129,8 +129,8 @@
 func TestWhatOthersDoNotTellAgainIsOver(t *testing.T) {
 	f, now := spreadFleet(6), time.Unix(100, 0)
 	a1, b1 := f.Endpoint("a1"), f.Endpoint("b1")
-	f.SetLoads(now, []Load{{Endpoint: a1, Running: 6, Failing: 50}, {Endpoint: b1, Running: 1}})
-	f.SetLoads(now, []Load{{Endpoint: b1, Running: 2}})
+	f.SetRemoteLoads(now, []RemoteLoad{{Endpoint: a1, Running: 6, FailingPercent: 50}, {Endpoint: b1, Running: 1}})
+	f.SetRemoteLoads(now, []RemoteLoad{{Endpoint: b1, Running: 2}})
 	at := now.UnixNano()
 	if a1.others.runningAt(at) != 0 || a1.others.failingAt(at) != 0 || b1.others.runningAt(at) != 2 {
 		t.Errorf("%d calls and %v failing at one that is over, %d at the other", a1.others.runningAt(at), a1.others.failingAt(at), b1.others.runningAt(at))
--- a/rockbarrow/placement/prefix.go
+++ b/rockbarrow/placement/prefix.go
@@ -38,14 +38,14 @@
 	out := make([]Boundary, 0, len(messages))
 	var prev Boundary
 	for _, m := range messages {
-		prev = Append(prev, m)
+		prev = NextBoundary(prev, m)
 		out = append(out, prev)
 	}
 	return out
 }
 
 // Append returns the boundary after one more message.
-func Append(prev Boundary, m *recordpb.Message) Boundary {
+func NextBoundary(prev Boundary, m *recordpb.Message) Boundary {
 	var b [8]byte
 	binary.BigEndian.PutUint64(b[:], prev.Key)
 	var h xxhash.Digest
@@ -60,7 +60,7 @@
 // Prefixes remembers which endpoints hold which prefixes. It is told by own
 // dispatches and by cache events; when events were lost the knowledge is
 // doubtful, which costs time and nothing else. The zero value is ready.
-type Prefixes struct {
+type PrefixIndex struct {
 	known sync.Map // of uint64 to *holders
 	size  atomic.Int64
 	clock atomic.Int64
@@ -73,8 +73,8 @@
 }
 
 // Find returns what each endpoint holds of a prompt, the longest first.
-func (p *Prefixes) Find(bounds []Boundary) []Held {
-	var out []Held
+func (p *PrefixIndex) Find(bounds []Boundary) []CachedPrefix {
+	var out []CachedPrefix
 	for n := len(bounds) - 1; n >= 0; n-- {
 		if n > 0 && n < len(bounds)-lookBack {
 			continue
@@ -84,8 +84,8 @@
 			continue
 		}
 		for _, e := range v.(*holders).endpoints {
-			if !slices.ContainsFunc(out, func(h Held) bool { return h.Endpoint == e }) {
-				out = append(out, Held{Endpoint: e, Tokens: bounds[n].Tokens})
+			if !slices.ContainsFunc(out, func(h CachedPrefix) bool { return h.Endpoint == e }) {
+				out = append(out, CachedPrefix{Endpoint: e, Tokens: bounds[n].Tokens})
 			}
 		}
 	}
@@ -93,7 +93,7 @@
 }
 
 // Add records that an endpoint holds a prefix.
-func (p *Prefixes) Add(key uint64, endpoint string) {
+func (p *PrefixIndex) Add(key uint64, endpoint string) {
 	now := p.clock.Add(1)
 	for {
 		v, ok := p.known.Load(key)
@@ -117,7 +117,7 @@
 }
 
 // Drop records that an endpoint no longer holds a prefix.
-func (p *Prefixes) Drop(key uint64, endpoint string) {
+func (p *PrefixIndex) Remove(key uint64, endpoint string) {
 	for {
 		v, ok := p.known.Load(key)
 		if !ok {
@@ -142,15 +142,15 @@
 }
 
 // Forget drops all that an endpoint held, when it restarted.
-func (p *Prefixes) Forget(endpoint string) {
+func (p *PrefixIndex) RemoveEndpoint(endpoint string) {
 	p.known.Range(func(k, _ any) bool {
-		p.Drop(k.(uint64), endpoint)
+		p.Remove(k.(uint64), endpoint)
 		return true
 	})
 }
 
 // grown drops the half used longest ago once the bound is passed.
-func (p *Prefixes) grown() {
+func (p *PrefixIndex) grown() {
 	if p.size.Add(1) <= maxPrefixes {
 		return
 	}
--- a/rockbarrow/placement/size_test.go
+++ b/rockbarrow/placement/size_test.go
@@ -118,8 +118,8 @@
 		for _, class := range []Class{{Service: "s"}, {Service: "t"}} {
 			got, want := f.Candidates(class), whole.Candidates(class)
 			same := func(a, b *Endpoint) bool { return proto.Equal(a.Config(), b.Config()) }
-			if !slices.EqualFunc(got, want, same) || f.Places(now, class, 3) != whole.Places(now, class, 3) {
-				t.Fatalf("%v: %d endpoints and %d places, want %d and %d", class, len(got), f.Places(now, class, 3), len(want), whole.Places(now, class, 3))
+			if !slices.EqualFunc(got, want, same) || f.Slots(now, class, 3) != whole.Slots(now, class, 3) {
+				t.Fatalf("%v: %d endpoints and %d places, want %d and %d", class, len(got), f.Slots(now, class, 3), len(want), whole.Slots(now, class, 3))
 			}
 		}
 		if len(f.Endpoints()) != len(present) {
@@ -144,16 +144,16 @@
 		for range r.IntN(40) {
 			c, ok := f.Choose(now, Request{Class: Class{Service: "s"}}, r)
 			if ok && r.IntN(3) == 0 {
-				c.Endpoint().Done(now, Result{Unreached: r.IntN(2) == 0})
+				c.Endpoint().Done(now, Result{Unreachable: r.IntN(2) == 0})
 			}
 		}
-		var loads []Load
+		var loads []RemoteLoad
 		for _, e := range f.Endpoints() {
 			if r.IntN(4) == 0 {
-				loads = append(loads, Load{Endpoint: e, Running: uint32(r.IntN(9))})
+				loads = append(loads, RemoteLoad{Endpoint: e, Running: uint32(r.IntN(9))})
 			}
 		}
-		f.SetLoads(now, loads)
+		f.SetRemoteLoads(now, loads)
 		later := now.Add(time.Duration(r.IntN(2)) * 1300 * time.Millisecond)
 		all, slots, others := 0, 0, 0
 		for _, e := range f.Endpoints() {
@@ -161,7 +161,7 @@
 				all, slots, others = all+9, slots+6, others+int(e.others.runningAt(later.UnixNano()))
 			}
 		}
-		if got, want := f.Places(later, Class{Service: "s"}, 4), min(slots, max(1, all/4, all-others)); got != want {
+		if got, want := f.Slots(later, Class{Service: "s"}, 4), min(slots, max(1, all/4, all-others)); got != want {
 			t.Fatalf("%d places, want %d", got, want)
 		}
 	}
--- a/rockbarrow/placement/spread.go
+++ b/rockbarrow/placement/spread.go
@@ -24,7 +24,7 @@
 )
 
 // Listed is an endpoint of a list.
-type Listed struct {
+type ListedEndpoint struct {
 	Config *configpb.Endpoint
 	// BornMS tells its life, 0 if that is not known.
 	BornMS uint64
@@ -35,15 +35,15 @@
 
 // DrawFrom sets where draws begin in each list of endpoints, which is else drawn by lot: for
 // runs that repeat.
-func (f *Fleet) DrawFrom(first uint64) { f.first = first }
+func (f *Fleet) SetWindowStart(first uint64) { f.first = first }
 
 // spread stays with the run's last endpoint while it has room, and else takes the
 // one with the smallest load of a few that are drawn, half of them in the own failure
 // domain. What others told is some 0.3 s old: were all endpoints compared, all
 // instances would choose the same one until they hear of each other.
 func (f *Fleet) spread(now int64, list []*Endpoint, req Request, r *rand.Rand) (Choice, bool) {
-	if last := f.Endpoint(req.Last.ID); last != nil && last.Life().Same(req.Last) && has(list, last) && last.mayKeep(now, req) {
-		return Choice{endpoint: last, cached: req.Prompt}, true
+	if last := f.Endpoint(req.LastEndpoint.ID); last != nil && last.Life().Same(req.LastEndpoint) && has(list, last) && last.mayKeep(now, req) {
+		return Choice{endpoint: last, cached: req.PromptTokens}, true
 	}
 	if len(list) == 0 {
 		return Choice{}, false
@@ -59,7 +59,7 @@
 	if d.best == nil {
 		return Choice{}, false
 	}
-	return Choice{endpoint: d.best, lacking: req.Prompt}, true
+	return Choice{endpoint: d.best, lacking: req.PromptTokens}, true
 }
 
 // mayKeep reports whether a run's last endpoint is good enough to keep the run, so that
@@ -127,7 +127,7 @@
 		return outOfReach
 	case e.domain == req.Domain:
 		return 0
-	case req.Prompt > 0:
+	case req.PromptTokens > 0:
 		return fartherPrompt
 	}
 	return farther
--- a/rockbarrow/placement/spread_test.go
+++ b/rockbarrow/placement/spread_test.go
@@ -20,10 +20,10 @@
 }
 
 // listed is a list of endpoints of which nobody told a life.
-func listed(endpoints []*configpb.Endpoint) []Listed {
-	out := make([]Listed, 0, len(endpoints))
+func listed(endpoints []*configpb.Endpoint) []ListedEndpoint {
+	out := make([]ListedEndpoint, 0, len(endpoints))
 	for _, c := range endpoints {
-		out = append(out, Listed{Config: c})
+		out = append(out, ListedEndpoint{Config: c})
 	}
 	return out
 }
@@ -52,7 +52,7 @@
 func TestSpreadStaysWithTheLastEndpoint(t *testing.T) {
 	f, r, now := spreadFleet(10), rand.New(rand.NewPCG(1, 1)), time.Unix(1, 0)
 	req := spreadRequest()
-	req.Last = life.Life{ID: "b2"}
+	req.LastEndpoint = life.Life{ID: "b2"}
 	// Also where others have taken more than all of its places: it reads the least.
 	f.Endpoint("b2").setOthers(now, 25, 0)
 	for i := range 10 {
@@ -68,7 +68,7 @@
 func TestSpreadAvoids(t *testing.T) {
 	r, now := rand.New(rand.NewPCG(1, 1)), time.Unix(1, 0)
 	req := spreadRequest()
-	req.Avoid, req.AvoidDomains = []life.Life{{ID: "b1"}}, []string{"a"}
+	req.AvoidEndpoints, req.AvoidDomains = []life.Life{{ID: "b1"}}, []string{"a"}
 	f := spreadFleet(2)
 	for i, want := range []string{"b2", "b2"} {
 		if c, _ := f.Choose(now, req, r); c.Endpoint().Name() != want {
@@ -84,13 +84,13 @@
 func TestASilentEndpointIsAvoidedUntilItAnswers(t *testing.T) {
 	f, r, now := spreadFleet(20), rand.New(rand.NewPCG(1, 1)), time.Unix(1, 0)
 	req := spreadRequest()
-	req.Last = life.Life{ID: "b1"}
+	req.LastEndpoint = life.Life{ID: "b1"}
 	hung, _ := f.Choose(now, req, r)
 	later := now.Add(silentAfter + time.Millisecond)
 	if c, _ := f.Choose(later, req, r); c.Endpoint() == hung.Endpoint() {
 		t.Error("an endpoint that answers nothing got another call")
 	}
-	hung.Endpoint().Answered(later)
+	hung.Endpoint().RecordResponse(later)
 	if c, _ := f.Choose(later, req, r); c.Endpoint() != hung.Endpoint() {
 		t.Error("an endpoint that answers again gets no calls")
 	}
@@ -104,14 +104,14 @@
 func TestAnUnreachedEndpointIsTakenOutAtOnceAndOnce(t *testing.T) {
 	f, r, now := spreadFleet(20), rand.New(rand.NewPCG(1, 1)), time.Unix(1, 0)
 	req := spreadRequest()
-	req.Last = life.Life{ID: "b1"}
+	req.LastEndpoint = life.Life{ID: "b1"}
 	var under []Choice
 	for range 5 {
 		c, _ := f.Choose(now, req, r)
 		under = append(under, c)
 	}
 	for _, c := range under {
-		c.Endpoint().Done(now, Result{Unreached: true})
+		c.Endpoint().Done(now, Result{Unreachable: true})
 	}
 	if c, _ := f.Choose(now, req, r); c.Endpoint().Name() == "b1" {
 		t.Error("an endpoint that is not reached got another call")
--- a/rockbench/agent/program.go
+++ b/rockbench/agent/program.go
@@ -151,7 +151,7 @@
 // names the prompt it saw.
 func (a *Agent) check(n int, messages []Message, answer *Answer) {
 	for _, m := range messages {
-		a.bound = placement.Append(a.bound, &recordpb.Message{Role: m.Role, Content: m.Content})
+		a.bound = placement.NextBoundary(a.bound, &recordpb.Message{Role: m.Role, Content: m.Content})
 	}
 	want := "prompt " + engine.KeyName(a.bound.Key)
 	if !strings.HasPrefix(answer.Content, want) {
@@ -160,7 +160,7 @@
 	if sum := sha256.Sum256([]byte(answer.Content)); hex.EncodeToString(sum[:]) != answer.Digest {
 		a.Client.Book.Break(fmt.Sprintf("whole answers: call %d of %s has a wrong digest", n, a.record.Run))
 	}
-	a.bound = placement.Append(a.bound, &recordpb.Message{Role: "assistant", Content: answer.Content})
+	a.bound = placement.NextBoundary(a.bound, &recordpb.Message{Role: "assistant", Content: answer.Content})
 	a.record.Messages = append(a.record.Messages, messages)
 	a.record.Answers = append(a.record.Answers, answer.Content)
 }
--- a/rockbench/emulator/entry.go
+++ b/rockbench/emulator/entry.go
@@ -50,7 +50,7 @@
 	}
 	e.waiting[a.id] = a
 	now := e.world.clock.time()
-	places := e.fleet.Places(now, placement.Class{Service: service}, len(e.world.entries))
+	places := e.fleet.Slots(now, placement.Class{Service: service}, len(e.world.entries))
 	e.handle(limiter.Resized{Places: places})
 	e.handle(limiter.Arrived{
 		ID: a.id, Underway: t.line.last.ID != "", Left: t.program.due - e.world.clock.now, Timed: true,
@@ -86,7 +86,7 @@
 	var avoid []life.Life
 	for range len(e.world.engines) {
 		choice, ok := e.fleet.Choose(now, placement.Request{
-			Class: placement.Class{Service: service}, Prompt: int64(t.prompt), Answer: int64(t.output), Last: t.line.last, Avoid: avoid,
+			Class: placement.Class{Service: service}, PromptTokens: int64(t.prompt), OutputTokens: int64(t.output), LastEndpoint: t.line.last, AvoidEndpoints: avoid,
 		}, e.rand)
 		if !ok {
 			break
@@ -113,7 +113,7 @@
 
 // first is called with the first token: the client waits on from now.
 func (a *attempt) first() {
-	a.place.Answered(a.entry.world.clock.time())
+	a.place.RecordResponse(a.entry.world.clock.time())
 	a.call.first = nil
 }
 
--- a/rockbench/emulator/restart.go
+++ b/rockbench/emulator/restart.go
@@ -63,7 +63,7 @@
 	if w.byName {
 		return
 	}
-	told := append([]placement.Listed(nil), w.listed...)
+	told := append([]placement.ListedEndpoint(nil), w.listed...)
 	w.clock.after(ms(w.deployment.NewsMS), func() {
 		for _, e := range w.entries {
 			e.fleet = placement.NewServiceFleet(w.clock.time(), told, w.policy, e.fleet)
--- a/rockbench/emulator/world.go
+++ b/rockbench/emulator/world.go
@@ -63,7 +63,7 @@
 	engines    map[string]*engine
 	names      []string
 	// listed is the engines with their present lives, in the order of names.
-	listed    []placement.Listed
+	listed    []placement.ListedEndpoint
 	policy    placement.Policy
 	byName    bool
 	result    Result
@@ -90,14 +90,14 @@
 		name := fmt.Sprintf("engine-%03d", i)
 		w.names = append(w.names, name)
 		w.engines[name] = &engine{deployment: &r.Deployment.Engine, clock: &w.clock, name: name, slow: 1}
-		w.listed = append(w.listed, placement.Listed{BornMS: 1, Config: &configpb.Endpoint{
+		w.listed = append(w.listed, placement.ListedEndpoint{BornMS: 1, Config: &configpb.Endpoint{
 			Name: name, Service: service, MaxCalls: uint32(r.Deployment.Engine.Slots), Domain: "domain", Address: name,
 		}})
 	}
 	for i := range r.Deployment.Entries {
 		e := &entry{world: w, rand: rand.New(rand.NewPCG(r.Seed, uint64(i+2))), waiting: map[limiter.ID]*attempt{}}
 		e.fleet = placement.NewServiceFleet(w.clock.time(), w.listed, r.Policy, nil)
-		e.fleet.DrawFrom(w.rand.Uint64())
+		e.fleet.SetWindowStart(w.rand.Uint64())
 		w.entries = append(w.entries, e)
 	}
 	w.clock.after(0, w.arrive)
@@ -147,18 +147,18 @@
 	all := map[string]int64{}
 	for _, name := range w.names {
 		for _, e := range w.entries {
-			all[name] += e.fleet.Endpoint(name).Underway()
+			all[name] += e.fleet.Endpoint(name).InFlight()
 		}
 	}
 	for _, e := range w.entries {
-		loads := make([]placement.Load, 0, len(w.names))
+		loads := make([]placement.RemoteLoad, 0, len(w.names))
 		for _, name := range w.names {
 			p := e.fleet.Endpoint(name)
-			loads = append(loads, placement.Load{Endpoint: p, Running: uint32(all[name] - p.Underway())})
+			loads = append(loads, placement.RemoteLoad{Endpoint: p, Running: uint32(all[name] - p.InFlight())})
 		}
 		// It arrives later, as it stood now.
 		fleet := e.fleet
-		w.clock.after(ms(w.deployment.NewsMS), func() { fleet.SetLoads(w.clock.time(), loads) })
+		w.clock.after(ms(w.deployment.NewsMS), func() { fleet.SetRemoteLoads(w.clock.time(), loads) })
 	}
 	if w.clock.now < ms(1000*w.deployment.Seconds)+drain {
 		w.clock.after(ms(max(10, w.deployment.NewsMS)), w.news)
--- a/rockbench/standin/batch.go
+++ b/rockbench/standin/batch.go
@@ -109,7 +109,7 @@
 // answered returns the boundaries with the answer behind the prompt.
 func answered(s *sequence) []placement.Boundary {
 	last := s.bounds[len(s.bounds)-1]
-	b := placement.Append(last, &recordpb.Message{Role: "assistant", Content: strings.Join(s.answer, "")})
+	b := placement.NextBoundary(last, &recordpb.Message{Role: "assistant", Content: strings.Join(s.answer, "")})
 	return append(s.bounds[:len(s.bounds):len(s.bounds)], b)
 }
 
