--- a/rockbarrow/placement/class.go
+++ b/rockbarrow/placement/class.go
@@ -8,140 +8,141 @@
 	"time"
 )
 
-// members is the endpoints of a [Class] in one fleet. It does not change once the fleet is in use.
-type members struct {
-	// endpoints are ordered by name.
+// classEndpoints holds the endpoints of a [Class] in one fleet. It is immutable once the fleet is in use.
+type classEndpoints struct {
+	// endpoints is sorted by name.
 	endpoints []*Endpoint
-	// slots and queues are the sums of the calls that they run, and that may wait there.
-	slots, queues int
+	// slots is the number of calls that the endpoints run at once, queueSlots how many more may wait there.
+	slots, queueSlots int
 }
 
-func (c *members) candidates() []*Endpoint {
+func (c *classEndpoints) candidates() []*Endpoint {
 	if c == nil {
 		return nil
 	}
 	return c.endpoints
 }
 
-// sorted orders endpoints by name, so that no order of a map decides anything.
-func sorted(list []*Endpoint) []*Endpoint {
+// sortByName sorts a list in place and returns it, which keeps results independent of map order.
+func sortByName(list []*Endpoint) []*Endpoint {
 	slices.SortFunc(list, func(a, b *Endpoint) int { return strings.Compare(a.name, b.name) })
 	return list
 }
 
-// put adds an endpoint to a class of a fleet in the making, in the order of names.
-func (f *Fleet) put(of Class, e *Endpoint) {
+// addToClass appends an endpoint to a class while the fleet is built. Endpoints are added in name order.
+func (f *Fleet) addToClass(of Class, e *Endpoint) {
 	c := f.classes[of]
 	if c == nil {
-		c = &members{}
+		c = &classEndpoints{}
 		f.classes[of] = c
 	}
 	c.endpoints = append(c.endpoints, e)
-	c.count(e, 1)
+	c.addCapacity(e, 1)
 }
 
-// count adds an endpoint's places to the sums, or takes them off. One that is listed as draining has none.
-func (c *members) count(e *Endpoint, sign int) {
+// addCapacity adds an endpoint's slots to the totals, or subtracts them if sign is -1. Endpoints configured as draining
+// have no capacity.
+func (c *classEndpoints) addCapacity(e *Endpoint, sign int) {
 	if e.config.GetDraining() {
 		return
 	}
 	n := int(e.maxCalls())
 	c.slots += sign * n
-	c.queues += sign * queued(n)
+	c.queueSlots += sign * queueSlots(n)
 }
 
-// NewServiceFleet indexes endpoints by their service alone, where every
-// configured endpoint is allowed. Endpoints that did not change since an earlier
-// fleet, which may be nil, keep what is known of them. One that has started again since begins
-// with nothing but a time to warm up, as after an ejection.
+// NewServiceFleet indexes endpoints by service only, without bindings. Endpoints that are unchanged since the old
+// fleet, which may be nil, keep their state. An endpoint that has restarted loses its state and goes through a slow
+// start, as after an ejection.
 func NewServiceFleet(now time.Time, endpoints []ListedEndpoint, p Policy, old *Fleet) *Fleet {
-	f := nextFleet(p, old)
-	f.classes = map[Class]*members{}
+	f := newFleetFrom(p, old)
+	f.classes = map[Class]*classEndpoints{}
 	for _, l := range endpoints {
-		f.endpoints = append(f.endpoints, carry(now, l, old))
+		f.endpoints = append(f.endpoints, reuseEndpoint(now, l, old))
 	}
-	for _, e := range sorted(f.endpoints) {
-		f.put(Class{Service: e.config.GetService()}, e)
+	for _, e := range sortByName(f.endpoints) {
+		f.addToClass(Class{Service: e.config.GetService()}, e)
 	}
-	f.known.prune(f)
+	f.tracked.prune(f)
 	return f
 }
 
-// Next returns the fleet after some endpoints have changed or come, and others, by name, have gone. It copies pointers
-// to the others. The fleet is one that [NewServiceFleet] has made.
+// Next returns a fleet with some endpoints added or changed and others removed by name; the rest are shared with f.
+// The fleet f must come from [NewServiceFleet] or Next.
 func (f *Fleet) Next(now time.Time, changed []ListedEndpoint, gone []string) *Fleet {
-	next := nextFleet(f.policy, f)
-	var came []*Endpoint
-	left := map[string]bool{}
+	next := newFleetFrom(f.policy, f)
+	var added []*Endpoint
+	removed := map[string]bool{}
 	for _, l := range changed {
-		came = append(came, carry(now, l, f))
-		left[l.Config.GetName()] = true
+		added = append(added, reuseEndpoint(now, l, f))
+		removed[l.Config.GetName()] = true
 	}
 	for _, name := range gone {
-		left[name] = true
+		removed[name] = true
 	}
-	came = sorted(came)
-	next.endpoints = merge(f.endpoints, came, left)
-	next.classes = make(map[Class]*members, len(f.classes))
-	touched := map[Class][]*Endpoint{}
-	for name := range left {
+	added = sortByName(added)
+	next.endpoints = mergeByName(f.endpoints, added, removed)
+	next.classes = make(map[Class]*classEndpoints, len(f.classes))
+	addedByClass := map[Class][]*Endpoint{}
+	for name := range removed {
 		if e := f.Endpoint(name); e != nil {
-			touched[serviceClass(e)] = nil
+			addedByClass[serviceClass(e)] = nil
 		}
 	}
-	for _, e := range came {
-		touched[serviceClass(e)] = append(touched[serviceClass(e)], e)
+	for _, e := range added {
+		addedByClass[serviceClass(e)] = append(addedByClass[serviceClass(e)], e)
 	}
-	for of, c := range f.classes {
-		next.classes[of] = c
+	for class, c := range f.classes {
+		next.classes[class] = c
 	}
-	for of, came := range touched {
-		next.classes[of] = f.classes[of].next(came, left)
+	for class, added := range addedByClass {
+		next.classes[class] = f.classes[class].update(added, removed)
 	}
-	next.known.prune(next)
+	next.tracked.prune(next)
 	return next
 }
 
 func serviceClass(e *Endpoint) Class { return Class{Service: e.config.GetService()} }
 
-// nextFleet returns an empty fleet that goes on where an earlier one, which may be nil, ends.
-func nextFleet(p Policy, old *Fleet) *Fleet {
-	f := &Fleet{policy: p, turn: &turn{}, known: &known{}, first: drawFirst()}
+// newFleetFrom returns a fleet without endpoints that shares the window start and the tracked endpoints of the old
+// fleet, which may be nil.
+func newFleetFrom(p Policy, old *Fleet) *Fleet {
+	f := &Fleet{policy: p, roundRobin: &roundRobin{}, tracked: &trackedEndpoints{}, windowStart: randomWindowStart()}
 	if old != nil {
-		f.first, f.known = old.first, old.known
+		f.windowStart, f.tracked = old.windowStart, old.tracked
 	}
 	return f
 }
 
-// next returns the class without the endpoints that left, and with those that came, which are ordered by name.
-func (c *members) next(came []*Endpoint, left map[string]bool) *members {
-	out := &members{}
+// update returns the class without the removed endpoints and with the added ones, which are sorted by name.
+func (c *classEndpoints) update(added []*Endpoint, removed map[string]bool) *classEndpoints {
+	out := &classEndpoints{}
 	if c != nil {
-		out.slots, out.queues = c.slots, c.queues
+		out.slots, out.queueSlots = c.slots, c.queueSlots
 		for _, e := range c.endpoints {
-			if left[e.name] {
-				out.count(e, -1)
+			if removed[e.name] {
+				out.addCapacity(e, -1)
 			}
 		}
 	}
-	for _, e := range came {
-		out.count(e, 1)
+	for _, e := range added {
+		out.addCapacity(e, 1)
 	}
-	out.endpoints = merge(c.candidates(), came, left)
+	out.endpoints = mergeByName(c.candidates(), added, removed)
 	return out
 }
 
-// merge joins two ordered lists, and leaves out those of the first that left.
-func merge(old, came []*Endpoint, left map[string]bool) []*Endpoint {
-	out := make([]*Endpoint, 0, len(old)+len(came))
+// mergeByName merges two sorted lists and drops the removed names from the first.
+func mergeByName(old, added []*Endpoint, removed map[string]bool) []*Endpoint {
+	out := make([]*Endpoint, 0, len(old)+len(added))
 	for _, e := range old {
-		for len(came) > 0 && came[0].name < e.name {
-			out = append(out, came[0])
-			came = came[1:]
+		for len(added) > 0 && added[0].name < e.name {
+			out = append(out, added[0])
+			added = added[1:]
 		}
-		if !left[e.name] {
+		if !removed[e.name] {
 			out = append(out, e)
 		}
 	}
-	return append(out, came...)
+	return append(out, added...)
 }
--- a/rockbarrow/placement/cost.go
+++ b/rockbarrow/placement/cost.go
@@ -8,34 +8,35 @@
 )
 
 const (
-	// near is how close two costs are to count as equal.
-	near = 1.05
-	// sample is how many candidates are priced at most, besides those that hold
-	// a prefix: a draw of that many finds one near the best, in bounded time.
-	sample = 96
+	// nearEqualFactor is the largest ratio of two costs that are treated as equal.
+	nearEqualFactor = 1.05
+	// maxPricedCandidates bounds the time of a choice: larger classes are
+	// sampled. Candidates with a cached prefix are always priced.
+	maxPricedCandidates = 96
 )
 
-// held is what one candidate's cache has of a prompt.
-type held struct {
+// cachedCandidate is a candidate with a cached prefix of the prompt.
+type cachedCandidate struct {
 	endpoint *Endpoint
 	tokens   int64
 }
 
-// leastCost prices the candidates and draws among near equals, so that many
-// instances with the same old reports do not all choose the same endpoint.
-func (f *Fleet) leastCost(now int64, list []*Endpoint, req Request, r *rand.Rand) (Choice, bool) {
-	var space [maxHolders]held
-	holding := f.resolve(space[:0], list, req)
-	most := int64(0)
-	for _, h := range holding {
-		most = max(most, h.tokens)
+// chooseLeastCost returns the candidate with the lowest cost, or randomly the
+// second one if their costs are nearly equal: instances with the same stale load
+// reports would otherwise all choose the same endpoint.
+func (f *Fleet) chooseLeastCost(now int64, list []*Endpoint, req Request, r *rand.Rand) (Choice, bool) {
+	var buf [maxEndpointsPerPrefix]cachedCandidate
+	cached := f.cachedCandidates(buf[:0], list, req)
+	longest := int64(0)
+	for _, c := range cached {
+		longest = max(longest, c.tokens)
 	}
 	first, second := Choice{cost: math.Inf(1)}, Choice{cost: math.Inf(1)}
-	consider := func(e *Endpoint, has int64) {
-		if !e.open(now) || avoided(req, e) {
+	consider := func(e *Endpoint, cachedTokens int64) {
+		if !e.isAvailable(now) || isAvoided(req, e) {
 			return
 		}
-		c := f.price(now, e, req, has, most)
+		c := f.price(now, e, req, cachedTokens, longest)
 		switch {
 		case c.cost < first.cost:
 			first, second = c, first
@@ -43,54 +44,56 @@
 			second = c
 		}
 	}
-	for _, h := range holding {
-		consider(h.endpoint, h.tokens)
+	for _, c := range cached {
+		consider(c.endpoint, c.tokens)
 	}
 	start := 0
-	if len(list) > sample {
+	if len(list) > maxPricedCandidates {
 		start = r.IntN(len(list))
 	}
-	for i := range min(len(list), sample) {
+	for i := range min(len(list), maxPricedCandidates) {
 		e := list[(start+i)%len(list)]
-		if !holds(holding, e) {
+		if !hasCandidate(cached, e) {
 			consider(e, 0)
 		}
 	}
 	if first.endpoint == nil {
-		return f.any(now, list, req)
+		return f.chooseFirstAvailable(now, list, req)
 	}
-	if second.endpoint != nil && second.cost <= first.cost*near && r.IntN(2) == 0 {
+	if second.endpoint != nil && second.cost <= first.cost*nearEqualFactor && r.IntN(2) == 0 {
 		return second, true
 	}
 	return first, true
 }
 
-// any takes the first open candidate, when none of a draw was open.
-func (f *Fleet) any(now int64, list []*Endpoint, req Request) (Choice, bool) {
-	if len(list) <= sample {
+// chooseFirstAvailable returns the first available candidate of a class that is
+// too large to price whole. It is used when no sampled candidate is available.
+func (f *Fleet) chooseFirstAvailable(now int64, list []*Endpoint, req Request) (Choice, bool) {
+	if len(list) <= maxPricedCandidates {
 		return Choice{}, false
 	}
 	for _, e := range list {
-		if e.open(now) && !avoided(req, e) {
+		if e.isAvailable(now) && !isAvoided(req, e) {
 			return f.price(now, e, req, 0, 0), true
 		}
 	}
 	return Choice{}, false
 }
 
-// resolve finds the allowed candidates among those that hold a prefix.
-func (f *Fleet) resolve(out []held, list []*Endpoint, req Request) []held {
+// cachedCandidates appends the candidates in the list that have a cached prefix
+// of the request, up to the capacity of out.
+func (f *Fleet) cachedCandidates(out []cachedCandidate, list []*Endpoint, req Request) []cachedCandidate {
 	for _, h := range req.Prefixes {
 		e := f.Endpoint(h.Endpoint)
-		if e == nil || !has(list, e) || holds(out, e) || len(out) == cap(out) {
+		if e == nil || !containsEndpoint(list, e) || hasCandidate(out, e) || len(out) == cap(out) {
 			continue
 		}
-		out = append(out, held{endpoint: e, tokens: min(h.Tokens, req.PromptTokens)})
+		out = append(out, cachedCandidate{endpoint: e, tokens: min(h.Tokens, req.PromptTokens)})
 	}
 	return out
 }
 
-func holds(list []held, e *Endpoint) bool {
+func hasCandidate(list []cachedCandidate, e *Endpoint) bool {
 	for _, h := range list {
 		if h.endpoint == e {
 			return true
@@ -99,37 +102,39 @@
 	return false
 }
 
-// price is the expected cost of a call at an endpoint, in milliseconds.
-func (f *Fleet) price(now int64, e *Endpoint, req Request, has, most int64) Choice {
-	lacking := req.PromptTokens - has
-	running, waiting, free := e.load(now)
-	prefill := speed(&e.prefill, defaultPrefill)
-	step := speed(&e.step, defaultStep)
+// price estimates the cost of a call at an endpoint, in milliseconds. Of the
+// prompt, cached tokens are in the endpoint's cache; longest is the longest
+// cached prefix at any candidate.
+func (f *Fleet) price(now int64, e *Endpoint, req Request, cached, longest int64) Choice {
+	uncached := req.PromptTokens - cached
+	running, waiting, free := e.estimateLoad(now)
+	prefill := loadOr(&e.prefillMicros, defaultPrefillMicros)
+	step := loadOr(&e.stepMicros, defaultStepMicros)
 	batch := 1 + running/float64(e.maxCalls())
-	time := (waiting+float64(lacking))*prefill + float64(req.OutputTokens)*step*batch
-	again := float64(max(0, most-has)) * prefill
-	thrown := math.Max(0, float64(lacking)-free) * prefill
-	cost := f.weights.Latency*time + f.weights.Cache*(again+thrown)
-	return Choice{endpoint: e, lacking: lacking, cached: has, cost: cost / 1000}
+	latency := (waiting+float64(uncached))*prefill + float64(req.OutputTokens)*step*batch
+	recomputed := float64(max(0, longest-cached)) * prefill
+	evicted := math.Max(0, float64(uncached)-free) * prefill
+	cost := f.weights.Latency*latency + f.weights.Cache*(recomputed+evicted)
+	return Choice{endpoint: e, uncachedTokens: uncached, cachedTokens: cached, cost: cost / 1000}
 }
 
-// load joins own calls, which are known, with the last report, which counts
-// less the older it is.
-func (e *Endpoint) load(now int64) (running, waiting, free float64) {
-	running = float64(e.underway.Load())
-	waiting = math.Max(0, float64(e.prompt.Load()))
+// estimateLoad combines the calls of this instance with the last load report,
+// whose weight falls linearly with its age.
+func (e *Endpoint) estimateLoad(now int64) (running, waiting, free float64) {
+	running = float64(e.inFlight.Load())
+	waiting = math.Max(0, float64(e.pendingPrompt.Load()))
 	free = math.Inf(1)
-	rep := e.report.Load()
-	if rep == nil {
+	report := e.report.Load()
+	if report == nil {
 		return running, waiting, free
 	}
-	age := now - rep.at.UnixNano()
-	trust := 1 - float64(age)/float64(reportLife)
-	if trust <= 0 {
+	age := now - report.receivedAt.UnixNano()
+	weight := 1 - float64(age)/float64(reportTTL)
+	if weight <= 0 {
 		return running, waiting, free
 	}
-	others := math.Max(0, float64(int64(rep.running)-rep.own))
-	running += trust * others
-	waiting = math.Max(waiting, trust*float64(rep.waitingTokens))
-	return running, waiting, float64(rep.cacheFree)
+	remote := math.Max(0, float64(int64(report.running)-report.inFlightAtReport))
+	running += weight * remote
+	waiting = math.Max(waiting, weight*float64(report.waitingTokens))
+	return running, waiting, float64(report.freeCacheTokens)
 }
--- a/rockbarrow/placement/endpoint.go
+++ b/rockbarrow/placement/endpoint.go
@@ -12,96 +12,105 @@
 )
 
 const (
-	// defaultMaxCalls is the default of an endpoint's limit of calls.
+	// defaultMaxCalls applies to endpoints without a configured call limit.
 	defaultMaxCalls = 64
-	// defaultPrefill and defaultStep are the speeds assumed before any call:
-	// microseconds for a prompt token and for a step of the batch.
-	defaultPrefill = 150
-	defaultStep    = 15_000
-	// smoothing is the weight of a new measurement.
+	// defaultPrefillMicros per prompt token and defaultStepMicros per decoding
+	// step are assumed until the first measurement.
+	defaultPrefillMicros = 150
+	defaultStepMicros    = 15_000
+	// smoothing is the weight of a new sample in a moving average.
 	smoothing = 0.2
-	// reportLife is when a load report counts for nothing any more.
-	reportLife = 5 * time.Second
-	// failuresToEject in a row take an endpoint out for a while.
+	// reportTTL is the age at which a load report is ignored.
+	reportTTL = 5 * time.Second
+	// failuresToEject is the number of consecutive failures after which an
+	// endpoint is ejected.
 	failuresToEject = 3
-	// firstEjection doubles with each further ejection up to maxEjection.
+	// firstEjection is the duration of the first ejection. It doubles with each
+	// further one, up to maxEjection.
 	firstEjection = time.Second
 	maxEjection   = 30 * time.Second
-	// slowStart is how long a returned endpoint takes to get its full share.
-	slowStart = 5 * time.Second
-	// minLimit is the least that the adaptive limit falls to.
+	// slowStartPeriod is the time over which the limit of an endpoint ramps up
+	// after an ejection or a restart.
+	slowStartPeriod = 5 * time.Second
+	// minLimit is the lower bound of the adaptive limit.
 	minLimit = 2
-	// slowFactor is how many times its best a first token may take before the
-	// limit shrinks.
-	slowFactor = 4.0
+	// slowStepFactor is how many times the shortest step a decoding step may
+	// take before the limit is reduced.
+	slowStepFactor = 4.0
 )
 
-// Endpoint is one back end with what this instance knows of its load.
+// Endpoint is a back end and its load as seen by this instance.
 type Endpoint struct {
 	name   string
 	domain string
 	config *configpb.Endpoint
-	// born is the start of the only life that this speaks of, in milliseconds since 1970, 0 until it is known.
+	// born is the start time of the endpoint process that this state describes,
+	// in Unix milliseconds; 0 if unknown.
 	born atomic.Uint64
 
-	// underway counts own calls there and never exceeds the limit.
-	underway atomic.Int64
-	// prompt is the uncached prompt tokens of own calls that wait for their
-	// first token.
-	prompt atomic.Int64
-	// limit is the adaptive limit of own calls, in thousandths.
+	// inFlight counts the calls of this instance and never exceeds the limit.
+	inFlight atomic.Int64
+	// pendingPrompt is the number of uncached prompt tokens of this instance's
+	// calls that have no first token yet.
+	pendingPrompt atomic.Int64
+	// limit is the adaptive limit on inFlight, in thousandths of a call.
 	limit atomic.Int64
-	// prefill and step are measured speeds in microseconds, as float bits.
-	prefill, step, best atomic.Uint64
-	report              atomic.Pointer[LoadReport]
-	leaving             atomic.Bool
-	failures            atomic.Int64
-	ejections           atomic.Int64
-	// ejectedUntil and returned are nanoseconds since 1970.
-	ejectedUntil, returned atomic.Int64
-	// sign is when the endpoint last answered anything, or got its first call after
-	// it had none, in nanoseconds since 1970.
-	sign atomic.Int64
-	// answered and failed count own calls that have ended.
+	// prefillMicros per token, stepMicros per decoding step and bestStep, the
+	// shortest step seen, are float64 bits.
+	prefillMicros, stepMicros, bestStep atomic.Uint64
+	report                              atomic.Pointer[LoadReport]
+	draining                            atomic.Bool
+	failures                            atomic.Int64
+	ejections                           atomic.Int64
+	// ejectedUntil and rampStart, where the slow start begins, are Unix nanoseconds.
+	ejectedUntil, rampStart atomic.Int64
+	// lastResponse is when the endpoint last sent a response, or when it became
+	// busy after being idle, in Unix nanoseconds.
+	lastResponse atomic.Int64
+	// answered and failed count finished calls of this instance.
 	answered, failed atomic.Uint64
-	// lost counts calls and connections that ended by no answer.
-	lost atomic.Uint64
-	// used is true once it has had a call.
+	// lostConnections counts calls and idle connections that were closed without
+	// a response.
+	lostConnections atomic.Uint64
+	// used is set by the first call.
 	used atomic.Bool
-	// others is what other instances know.
-	others others
+	// remote is the state reported by other instances.
+	remote remoteState
 }
 
-// silentAfter is how long an endpoint with calls may answer none of them before
-// others are better: model engines answer in some 100 ms, the longest plain calls
-// take 1.5 s.
-const silentAfter = 1200 * time.Millisecond
+// unresponsiveAfter is how long an endpoint with calls in flight may send no
+// response before other endpoints are preferred. Model engines respond within
+// 100 ms; the longest plain calls take 1.5 s.
+const unresponsiveAfter = 1200 * time.Millisecond
 
-// Answered notes that the endpoint has begun to answer a call.
-func (e *Endpoint) RecordResponse(now time.Time) { e.sign.Store(now.UnixNano()) }
+// RecordResponse records that a response has started.
+func (e *Endpoint) RecordResponse(now time.Time) { e.lastResponse.Store(now.UnixNano()) }
 
-// Lost notes that a call, or a connection at rest, ended by no answer: the endpoint may have started again.
-func (e *Endpoint) RecordConnectionLoss() { e.lost.Add(1) }
+// RecordConnectionLoss records that a call or an idle connection was closed
+// without a response, which may mean that the endpoint has restarted.
+func (e *Endpoint) RecordConnectionLoss() { e.lostConnections.Add(1) }
 
-// silent reports whether the endpoint has calls and has answered none for long: it
-// hangs or is cut off, whatever its health says.
-func (e *Endpoint) silent(now int64) bool {
-	return e.underway.Load() > 0 && now-e.sign.Load() > int64(silentAfter)
+// isUnresponsive reports whether the endpoint has calls in flight and has sent
+// no response for unresponsiveAfter. This detects endpoints that hang or are
+// partitioned while their health checks pass.
+func (e *Endpoint) isUnresponsive(now int64) bool {
+	return e.inFlight.Load() > 0 && now-e.lastResponse.Load() > int64(unresponsiveAfter)
 }
 
-// Report is an endpoint's own word on its load, which arrives with a lag.
+// LoadReport is the load that an endpoint reports of itself.
 type LoadReport struct {
-	running       int
-	waitingTokens int
-	cacheFree     int
-	own           int64
-	at            time.Time
+	running          int
+	waitingTokens    int
+	freeCacheTokens  int
+	inFlightAtReport int64
+	receivedAt       time.Time
 }
 
-// NewReport returns a report: calls running and prompt tokens waiting there
-// from all instances, and tokens of cache that are free.
-func NewLoadReport(running, waitingTokens, cacheFree int, at time.Time) *LoadReport {
-	return &LoadReport{running: running, waitingTokens: waitingTokens, cacheFree: cacheFree, at: at}
+// NewLoadReport returns a report received at a time: the calls running and the
+// prompt tokens queued at the endpoint, from all instances, and the free tokens
+// of its cache.
+func NewLoadReport(running, waitingTokens, freeCacheTokens int, at time.Time) *LoadReport {
+	return &LoadReport{running: running, waitingTokens: waitingTokens, freeCacheTokens: freeCacheTokens, receivedAt: at}
 }
 
 func newEndpoint(l ListedEndpoint) *Endpoint {
@@ -115,30 +124,31 @@
 // Name returns the endpoint's name.
 func (e *Endpoint) Name() string { return e.name }
 
-// Life returns the life of the endpoint that all else here belongs to.
+// Life identifies the endpoint process that this state describes.
 func (e *Endpoint) Life() life.Life { return life.Life{ID: e.name, BornMS: e.born.Load()} }
 
 // Domain returns the endpoint's failure domain.
 func (e *Endpoint) Domain() string { return e.domain }
 
-// Config returns the endpoint as operators wrote it.
+// Config returns the endpoint's configuration. It must not be changed.
 func (e *Endpoint) Config() *configpb.Endpoint { return e.config }
 
-// Underway returns the number of own calls there.
-func (e *Endpoint) InFlight() int64 { return e.underway.Load() }
+// InFlight returns the number of calls of this instance at the endpoint.
+func (e *Endpoint) InFlight() int64 { return e.inFlight.Load() }
 
-// Limit returns how many own calls may be there now.
+// Limit returns the adaptive limit on the calls of this instance.
 func (e *Endpoint) Limit() int64 { return max(1, e.limit.Load()/1000) }
 
-// Leave marks the endpoint as leaving, or back in a new life.
-func (e *Endpoint) SetDraining(leaving bool) { e.leaving.Store(leaving) }
+// SetDraining sets whether the endpoint has reported that it is shutting down.
+func (e *Endpoint) SetDraining(draining bool) { e.draining.Store(draining) }
 
-// Leaving reports whether the endpoint takes nothing new.
-func (e *Endpoint) Draining() bool { return e.leaving.Load() || e.config.GetDraining() }
+// Draining reports whether the endpoint accepts no new calls, by its own report
+// or by configuration.
+func (e *Endpoint) Draining() bool { return e.draining.Load() || e.config.GetDraining() }
 
-// Heard stores a load report.
+// SetLoadReport stores a load report.
 func (e *Endpoint) SetLoadReport(r *LoadReport) {
-	r.own = e.underway.Load()
+	r.inFlightAtReport = e.inFlight.Load()
 	e.report.Store(r)
 }
 
@@ -149,69 +159,69 @@
 	return defaultMaxCalls
 }
 
-// open reports whether the endpoint may get a call now.
-func (e *Endpoint) open(now int64) bool {
+// isAvailable reports whether the endpoint can take another call now.
+func (e *Endpoint) isAvailable(now int64) bool {
 	if e.Draining() || now < e.ejectedUntil.Load() {
 		return false
 	}
-	return e.underway.Load() < e.share(now)
+	return e.inFlight.Load() < e.currentLimit(now)
 }
 
-// share is the limit, less in the first seconds after an ejection.
-func (e *Endpoint) share(now int64) int64 {
+// currentLimit returns the limit, reduced during a slow start.
+func (e *Endpoint) currentLimit(now int64) int64 {
 	limit := e.Limit()
-	if back := e.returned.Load(); back != 0 && now < back+int64(slowStart) {
-		return max(1, limit*(now-back)/int64(slowStart))
+	if start := e.rampStart.Load(); start != 0 && now < start+int64(slowStartPeriod) {
+		return max(1, limit*(now-start)/int64(slowStartPeriod))
 	}
 	return limit
 }
 
-// enter takes a seat, or reports that the last one has gone.
-func (e *Endpoint) enter(now int64, prompt int64) bool {
+// tryAcquire takes a slot, or reports false if none is free.
+func (e *Endpoint) tryAcquire(now int64, prompt int64) bool {
 	for {
-		n := e.underway.Load()
-		if n >= e.share(now) {
+		n := e.inFlight.Load()
+		if n >= e.currentLimit(now) {
 			return false
 		}
-		if e.underway.CompareAndSwap(n, n+1) {
+		if e.inFlight.CompareAndSwap(n, n+1) {
 			if n == 0 {
-				e.sign.Store(now)
+				e.lastResponse.Store(now)
 			}
-			e.prompt.Add(prompt)
+			e.pendingPrompt.Add(prompt)
 			return true
 		}
 	}
 }
 
-// Result is what a call tells of its endpoint.
+// Result is the outcome of a call at an endpoint.
 type Result struct {
-	// OK is false when the endpoint failed, not when it refused the request.
+	// OK is false if the endpoint failed; it is true for a refused request.
 	OK bool
-	// Refused is true if the endpoint did not run the call, which says nothing of how
-	// well it runs others.
+	// Refused is true if the endpoint did not run the call. Such a call counts
+	// neither as answered nor as failed.
 	Refused bool
-	// Unreached is true if the network said nothing at all, so that the next calls
-	// would fail in the same way.
+	// Unreachable is true if no connection was made or nothing was received. The
+	// endpoint is then ejected after a single failure.
 	Unreachable bool
-	// Prompt is the uncached prompt that the choice counted on.
+	// UncachedTokens is the uncached part of the prompt, as estimated by the choice.
 	UncachedTokens int64
-	// Computed is how many prompt tokens were computed.
+	// ComputedTokens is the number of prompt tokens that were not cached.
 	ComputedTokens int64
-	// First is the time to the first token, All to the last; zero if none came.
+	// TimeToFirstToken and Duration, up to the last token, are zero if there was none.
 	TimeToFirstToken, Duration time.Duration
-	// Answer is the number of answer tokens.
-	OutputTokens int64
+	OutputTokens               int64
 }
 
-// FirstToken takes a call's prompt off the endpoint's account.
-func (e *Endpoint) FirstToken(prompt int64) { e.prompt.Add(-prompt) }
+// FirstToken records that a call has its first token: its uncached prompt tokens
+// no longer count as pending.
+func (e *Endpoint) FirstToken(uncachedTokens int64) { e.pendingPrompt.Add(-uncachedTokens) }
 
-// Done gives the seat back and learns from the call.
+// Done releases the slot of a call and updates the endpoint's statistics.
 func (e *Endpoint) Done(now time.Time, r Result) {
-	e.underway.Add(-1)
+	e.inFlight.Add(-1)
 	if !r.OK {
 		e.failed.Add(1)
-		e.eject(now, r.Unreachable)
+		e.recordFailure(now, r.Unreachable)
 		return
 	}
 	if !r.Refused {
@@ -220,61 +230,64 @@
 	e.failures.Store(0)
 	e.ejections.Store(0)
 	if r.TimeToFirstToken > 0 && r.ComputedTokens > 16 {
-		smooth(&e.prefill, float64(r.TimeToFirstToken.Microseconds())/float64(r.ComputedTokens))
+		updateEWMA(&e.prefillMicros, float64(r.TimeToFirstToken.Microseconds())/float64(r.ComputedTokens))
 	}
 	if r.OutputTokens > 1 && r.Duration > r.TimeToFirstToken {
-		smooth(&e.step, float64((r.Duration-r.TimeToFirstToken).Microseconds())/float64(r.OutputTokens-1))
+		updateEWMA(&e.stepMicros, float64((r.Duration-r.TimeToFirstToken).Microseconds())/float64(r.OutputTokens-1))
 	}
-	e.adapt(r)
+	e.adjustLimit(r)
 }
 
-// adapt grows the limit by a little with each call and shrinks it when steps
-// take several times their best.
-func (e *Endpoint) adapt(r Result) {
+// adjustLimit adapts the limit by additive increase and multiplicative decrease:
+// it decreases when a decoding step takes slowStepFactor times the shortest one.
+func (e *Endpoint) adjustLimit(r Result) {
 	if r.OutputTokens <= 1 {
 		return
 	}
 	step := float64((r.Duration - r.TimeToFirstToken).Microseconds()) / float64(r.OutputTokens-1)
-	best := math.Float64frombits(e.best.Load())
+	best := math.Float64frombits(e.bestStep.Load())
 	if best == 0 || step < best {
-		e.best.Store(math.Float64bits(step))
+		e.bestStep.Store(math.Float64bits(step))
 		best = step
 	}
 	limit := e.limit.Load()
 	ceiling := int64(e.maxCalls()) * 1000
-	if step > best*slowFactor {
+	if step > best*slowStepFactor {
 		e.limit.Store(max(minLimit*1000, limit*95/100))
 		return
 	}
 	e.limit.Store(min(ceiling, limit+250))
 }
 
-// eject takes the endpoint out for a while after several failures in a row.
-func (e *Endpoint) eject(now time.Time, atOnce bool) {
-	if e.failures.Add(1) < failuresToEject && !atOnce {
+// recordFailure counts a failed call and ejects the endpoint after
+// failuresToEject in a row, or at once if it is unreachable.
+func (e *Endpoint) recordFailure(now time.Time, unreachable bool) {
+	if e.failures.Add(1) < failuresToEject && !unreachable {
 		return
 	}
 	if now.UnixNano() < e.ejectedUntil.Load() {
-		// Calls that were under way when it was taken out tell nothing new.
+		// The call was already in flight when the endpoint was ejected.
 		return
 	}
 	e.failures.Store(0)
 	n := min(e.ejections.Add(1), 6)
 	until := now.Add(min(firstEjection<<(n-1), maxEjection)).UnixNano()
 	e.ejectedUntil.Store(until)
-	e.returned.Store(until)
+	e.rampStart.Store(until)
 }
 
-func smooth(at *atomic.Uint64, v float64) {
-	old := math.Float64frombits(at.Load())
+// updateEWMA adds a sample to a moving average that is stored as float64 bits.
+func updateEWMA(average *atomic.Uint64, v float64) {
+	old := math.Float64frombits(average.Load())
 	if old != 0 {
 		v = old + smoothing*(v-old)
 	}
-	at.Store(math.Float64bits(v))
+	average.Store(math.Float64bits(v))
 }
 
-func speed(at *atomic.Uint64, fallback float64) float64 {
-	if v := math.Float64frombits(at.Load()); v != 0 {
+// loadOr returns a float64 stored as bits, or the fallback if it is zero.
+func loadOr(bits *atomic.Uint64, fallback float64) float64 {
+	if v := math.Float64frombits(bits.Load()); v != 0 {
 		return v
 	}
 	return fallback
--- a/rockbarrow/placement/fleet.go
+++ b/rockbarrow/placement/fleet.go
@@ -12,170 +12,172 @@
 	"rockbarrow.dev/rockbarrow/life"
 )
 
-// Policy is how endpoints are chosen. Cost and Spread are in use; the others are
-// baselines to measure against.
+// Policy selects how endpoints are chosen. Cost and Spread are used in
+// production; the others are baselines for comparison.
 type Policy int
 
-// The policies.
 const (
-	// Cost chooses the least expected cost.
+	// Cost chooses the lowest estimated cost.
 	Cost Policy = iota
-	// RoundRobin takes the candidates in turn.
+	// RoundRobin rotates through the candidates.
 	RoundRobin
-	// LeastLoaded takes the one with the fewest own calls.
+	// LeastLoaded chooses the endpoint with the fewest calls from this instance.
 	LeastLoaded
-	// Sticky stays with the run's last endpoint while it is open.
+	// Sticky keeps a run on its last endpoint while that is available, and falls
+	// back to LeastLoaded.
 	Sticky
-	// Spread stays with the run's last endpoint while it has room, and else
-	// spreads calls evenly. It needs no measured speeds.
+	// Spread keeps a run on its last endpoint while that is available and healthy,
+	// and otherwise balances calls by utilization. It needs no measured speeds.
 	Spread
 )
 
-// Weights say what time and waste are worth against each other.
+// Weights balances latency against cache reuse in the Cost policy.
 type Weights struct {
-	// Latency multiplies the expected time to finish.
+	// Latency multiplies the expected latency.
 	Latency float64
-	// Cache multiplies the time of computing again what some candidate holds.
+	// Cache multiplies the expected time lost to recomputing and evicting cached
+	// prefixes.
 	Cache float64
 }
 
-// Class is a set of candidates: a model or service within a binding.
+// Class identifies a set of candidates: a model or service within a binding.
 type Class struct {
 	Model   string
 	Service string
 	Binding string
 }
 
-// Request is a call to be placed.
+// Request is a call that needs an endpoint.
 type Request struct {
 	Class Class
-	// Prompt and Answer are expected tokens.
+	// PromptTokens and OutputTokens are estimates.
 	PromptTokens, OutputTokens int64
-	// Prefixes are what endpoints hold of the prompt, the longest for each.
+	// Prefixes lists the longest cached prefix at each endpoint.
 	Prefixes []CachedPrefix
-	// Last is the endpoint of the run's last answer, without an id if there is none.
+	// LastEndpoint answered the run's previous call; its ID is empty if there is none.
 	LastEndpoint life.Life
-	// Avoid are endpoints that failed the call.
+	// AvoidEndpoints have already failed the call.
 	AvoidEndpoints []life.Life
-	// Domain is the own failure domain, and AvoidDomains those that are likely to
-	// be out of reach, for Spread.
+	// Domain is the failure domain of this instance, and AvoidDomains lists failure
+	// domains that are probably unreachable. Only Spread uses them.
 	Domain       string
 	AvoidDomains []string
 }
 
-// Held says how many tokens of a prompt an endpoint's cache holds.
+// CachedPrefix is the number of prompt tokens that an endpoint has cached.
 type CachedPrefix struct {
 	Endpoint string
 	Tokens   int64
 }
 
-// Choice is an endpoint whose seat is taken.
+// Choice is an endpoint with an acquired slot.
 type Choice struct {
-	endpoint *Endpoint
-	lacking  int64
-	cached   int64
-	cost     float64
+	endpoint       *Endpoint
+	uncachedTokens int64
+	cachedTokens   int64
+	cost           float64
 }
 
 // Endpoint returns the chosen endpoint.
 func (c Choice) Endpoint() *Endpoint { return c.endpoint }
 
-// Lacking returns the prompt tokens that the endpoint has to compute.
-func (c Choice) UncachedTokens() int64 { return c.lacking }
+// UncachedTokens returns the prompt tokens that the endpoint has to compute.
+func (c Choice) UncachedTokens() int64 { return c.uncachedTokens }
 
-// Cached returns the prompt tokens that the endpoint is believed to hold.
-func (c Choice) CachedTokens() int64 { return c.cached }
+// CachedTokens returns the prompt tokens that the endpoint is expected to have cached.
+func (c Choice) CachedTokens() int64 { return c.cachedTokens }
 
-// CostMS returns the expected cost in milliseconds.
+// CostMS returns the estimated cost in milliseconds, 0 for policies other than Cost.
 func (c Choice) CostMS() float64 { return c.cost }
 
-// Fleet is the endpoints of one configuration version.
+// Fleet is an index of the endpoints of one configuration version.
 type Fleet struct {
 	weights Weights
 	policy  Policy
-	// endpoints are ordered by name, as are those of each class.
-	endpoints []*Endpoint
-	classes   map[Class]*members
-	turn      *turn
-	// known is shared with the fleets before and after this one.
-	known *known
-	// first is where this instance's window begins in each list of endpoints, for
-	// Spread.
-	first uint64
-}
-
-// NewFleet indexes a snapshot. Endpoints that did not change since an earlier
-// fleet, which may be nil, keep what is known of them.
+	// endpoints is sorted by name, as are those of each class.
+	endpoints  []*Endpoint
+	classes    map[Class]*classEndpoints
+	roundRobin *roundRobin
+	// tracked is shared by successive fleets.
+	tracked *trackedEndpoints
+	// windowStart is the offset of this instance's window in each list of
+	// endpoints, for Spread.
+	windowStart uint64
+}
+
+// NewFleet indexes a snapshot. Endpoints that are unchanged since the old fleet,
+// which may be nil, keep their state.
 func NewFleet(s *control.Snapshot, w Weights, p Policy, old *Fleet) *Fleet {
-	f := &Fleet{weights: w, policy: p, classes: map[Class]*members{}, turn: &turn{}, known: &known{}}
+	f := &Fleet{weights: w, policy: p, classes: map[Class]*classEndpoints{}, roundRobin: &roundRobin{}, tracked: &trackedEndpoints{}}
 	for _, c := range s.Document().GetEndpoints() {
-		f.endpoints = append(f.endpoints, carry(time.Time{}, ListedEndpoint{Config: c}, old))
+		f.endpoints = append(f.endpoints, reuseEndpoint(time.Time{}, ListedEndpoint{Config: c}, old))
 	}
-	f.endpoints = sorted(f.endpoints)
+	f.endpoints = sortByName(f.endpoints)
 	for _, b := range s.Document().GetBindings() {
-		f.index(s, b.GetName())
+		f.indexBinding(s, b.GetName())
 	}
 	return f
 }
 
-// carry keeps an endpoint's knowledge over a change of its limits, but not of its life or
-// its address, behind which another back end stands.
-func carry(now time.Time, l ListedEndpoint, old *Fleet) *Endpoint {
-	o := l.known(old)
-	if o == nil {
+// reuseEndpoint returns the endpoint of the old fleet for a list entry. If its
+// limits have changed, it returns a new one with the measured speeds; if the
+// process has restarted or the address has changed, a new one without state.
+func reuseEndpoint(now time.Time, l ListedEndpoint, old *Fleet) *Endpoint {
+	prev := l.findIn(old)
+	if prev == nil {
 		return newEndpoint(l)
 	}
-	if !o.Life().Same(life.Life{ID: o.name, BornMS: l.BornMS}) {
-		// It has started again.
+	if !prev.Life().Same(life.Life{ID: prev.name, BornMS: l.BornMS}) {
+		// The process has restarted: its cache is empty.
 		e := newEndpoint(l)
-		e.returned.Store(now.UnixNano())
+		e.rampStart.Store(now.UnixNano())
 		return e
 	}
 	if l.BornMS != 0 {
-		o.born.Store(l.BornMS)
+		prev.born.Store(l.BornMS)
 	}
 	c := l.Config
-	if o.config.GetMaxCalls() == c.GetMaxCalls() && o.config.GetDraining() == c.GetDraining() {
-		return o
+	if prev.config.GetMaxCalls() == c.GetMaxCalls() && prev.config.GetDraining() == c.GetDraining() {
+		return prev
 	}
 	e := newEndpoint(l)
-	e.born.Store(o.born.Load())
-	e.leaving.Store(o.leaving.Load())
-	e.prefill.Store(o.prefill.Load())
-	e.step.Store(o.step.Load())
-	e.best.Store(o.best.Load())
+	e.born.Store(prev.born.Load())
+	e.draining.Store(prev.draining.Load())
+	e.prefillMicros.Store(prev.prefillMicros.Load())
+	e.stepMicros.Store(prev.stepMicros.Load())
+	e.bestStep.Store(prev.bestStep.Load())
 	return e
 }
 
-// known returns what an earlier fleet, which may be nil, knows of the id with the same service behind the same address,
-// or nil.
-func (l ListedEndpoint) known(old *Fleet) *Endpoint {
+// findIn returns the endpoint of the same name, address, failure domain and
+// service in the old fleet, which may be nil, or nil if there is none.
+func (l ListedEndpoint) findIn(old *Fleet) *Endpoint {
 	if old == nil {
 		return nil
 	}
-	o := old.Endpoint(l.Config.GetName())
-	if o == nil || o.config.GetAddress() != l.Config.GetAddress() || o.domain != l.Config.GetDomain() || o.config.GetService() != l.Config.GetService() {
+	e := old.Endpoint(l.Config.GetName())
+	if e == nil || e.config.GetAddress() != l.Config.GetAddress() || e.domain != l.Config.GetDomain() || e.config.GetService() != l.Config.GetService() {
 		return nil
 	}
-	return o
+	return e
 }
 
-func (f *Fleet) index(s *control.Snapshot, binding string) {
+func (f *Fleet) indexBinding(s *control.Snapshot, binding string) {
 	b, _ := s.Binding(binding)
 	for _, e := range f.endpoints {
-		if !b.Allows(e.domain) || fenced(s, e) {
+		if !b.Allows(e.domain) || isWithdrawn(s, e) {
 			continue
 		}
 		for _, m := range e.config.GetModels() {
-			f.put(Class{Model: m, Binding: binding}, e)
+			f.addToClass(Class{Model: m, Binding: binding}, e)
 		}
 		if v := e.config.GetService(); v != "" {
-			f.put(Class{Service: v, Binding: binding}, e)
+			f.addToClass(Class{Service: v, Binding: binding}, e)
 		}
 	}
 }
 
-func fenced(s *control.Snapshot, e *Endpoint) bool {
+func isWithdrawn(s *control.Snapshot, e *Endpoint) bool {
 	_, byDomain := s.Withdrawn(e.domain)
 	_, byName := s.Withdrawn(e.name)
 	return byDomain || byName
@@ -183,64 +185,66 @@
 
 // Endpoint returns an endpoint by name, or nil.
 func (f *Fleet) Endpoint(name string) *Endpoint {
-	if i, ok := find(f.endpoints, name); ok {
+	if i, ok := search(f.endpoints, name); ok {
 		return f.endpoints[i]
 	}
 	return nil
 }
 
-// find searches a list that is ordered by name.
-func find(list []*Endpoint, name string) (int, bool) {
+// search finds a name in a list that is sorted by name.
+func search(list []*Endpoint, name string) (int, bool) {
 	return slices.BinarySearchFunc(list, name, func(e *Endpoint, name string) int { return strings.Compare(e.name, name) })
 }
 
-// Endpoints returns all endpoints, ordered by name. The list must not be changed.
+// Endpoints returns all endpoints, sorted by name. The list must not be changed.
 func (f *Fleet) Endpoints() []*Endpoint { return f.endpoints }
 
-// Candidates returns the allowed endpoints of a class, ordered by name.
+// Candidates returns the endpoints of a class, sorted by name. The list must not
+// be changed.
 func (f *Fleet) Candidates(c Class) []*Endpoint { return f.classes[c].candidates() }
 
-// Choose takes a seat at the best endpoint. It reports false when no allowed
-// endpoint has room.
+// Choose acquires a slot at the best endpoint according to the policy. It
+// reports false if no candidate is available.
 func (f *Fleet) Choose(now time.Time, req Request, r *rand.Rand) (Choice, bool) {
 	list := f.Candidates(req.Class)
 	at := now.UnixNano()
-	// A lost race for the last seat is tried again, each time with one fewer.
+	// Another call may take the last slot between choose and tryAcquire. Each
+	// retry then has one candidate fewer.
 	for range len(list) {
-		c, ok := f.best(at, list, req, r)
+		c, ok := f.choose(at, list, req, r)
 		if !ok {
 			return Choice{}, false
 		}
-		if c.endpoint.enter(at, c.lacking) {
-			f.known.use(c.endpoint)
+		if c.endpoint.tryAcquire(at, c.uncachedTokens) {
+			f.tracked.markUsed(c.endpoint)
 			return c, true
 		}
 	}
 	return Choice{}, false
 }
 
-func (f *Fleet) best(now int64, list []*Endpoint, req Request, r *rand.Rand) (Choice, bool) {
+func (f *Fleet) choose(now int64, list []*Endpoint, req Request, r *rand.Rand) (Choice, bool) {
 	switch f.policy {
 	case RoundRobin:
-		return f.inTurn(now, list, req)
+		return f.chooseRoundRobin(now, list, req)
 	case LeastLoaded:
-		return f.leastLoaded(now, list, req)
+		return f.chooseLeastLoaded(now, list, req)
 	case Sticky:
-		return f.sticky(now, list, req)
+		return f.chooseSticky(now, list, req)
 	case Spread:
-		return f.spread(now, list, req, r)
+		return f.chooseSpread(now, list, req, r)
 	}
-	return f.leastCost(now, list, req, r)
+	return f.chooseLeastCost(now, list, req, r)
 }
 
-// has searches a list that is ordered by name.
-func has(list []*Endpoint, e *Endpoint) bool {
-	i, ok := find(list, e.name)
+// containsEndpoint reports whether a list that is sorted by name contains e.
+func containsEndpoint(list []*Endpoint, e *Endpoint) bool {
+	i, ok := search(list, e.name)
 	return ok && list[i] == e
 }
 
-// avoided reports whether a call must not go to an endpoint that has failed it.
-func avoided(req Request, e *Endpoint) bool {
+// isAvoided reports whether the endpoint has already failed the request.
+func isAvoided(req Request, e *Endpoint) bool {
 	for _, a := range req.AvoidEndpoints {
 		if a.Same(e.Life()) {
 			return true
--- a/rockbarrow/placement/fleet_test.go
+++ b/rockbarrow/placement/fleet_test.go
@@ -40,20 +40,20 @@
 				break
 			}
 			if c.Endpoint().Domain() == "d2" {
-				t.Fatalf("policy %d chose %s in a forbidden place", p, c.Endpoint().Name())
+				t.Fatalf("policy %d chose %s outside the binding's failure domains", p, c.Endpoint().Name())
 			}
 		}
 	}
 }
 
-func TestHeldPrefixWinsUntilTheQueueCostsMore(t *testing.T) {
+func TestCachedPrefixIsWeighedAgainstQueueing(t *testing.T) {
 	f := fleet(3, Weights{Latency: 1}, Cost)
 	r := rand.New(rand.NewPCG(1, 1))
 	now := time.Unix(1000, 0)
 	req := Request{Class: class, PromptTokens: 2000, OutputTokens: 10, Prefixes: []CachedPrefix{{Endpoint: "e001", Tokens: 1900}}}
 	c, _ := f.Choose(now, req, r)
 	if c.Endpoint().Name() != "e001" {
-		t.Fatalf("chose %s, want e001, which holds the prefix", c.Endpoint().Name())
+		t.Fatalf("chose %s, want e001, which has the prefix cached", c.Endpoint().Name())
 	}
 	f.Endpoint("e001").SetLoadReport(NewLoadReport(40, 20_000, 0, now))
 	c, _ = f.Choose(now, req, r)
@@ -62,7 +62,7 @@
 	}
 }
 
-func TestCacheWeightWaitsForTheHolder(t *testing.T) {
+func TestCacheWeightPrefersTheCachedPrefix(t *testing.T) {
 	f := fleet(3, Weights{Latency: 1, Cache: 20}, Cost)
 	r := rand.New(rand.NewPCG(1, 1))
 	now := time.Unix(1000, 0)
@@ -70,11 +70,11 @@
 	req := Request{Class: class, PromptTokens: 2000, OutputTokens: 10, Prefixes: []CachedPrefix{{Endpoint: "e001", Tokens: 1900}}}
 	c, _ := f.Choose(now, req, r)
 	if c.Endpoint().Name() != "e001" {
-		t.Fatalf("chose %s, want e001 when waste weighs more", c.Endpoint().Name())
+		t.Fatalf("chose %s, want e001 with a high cache weight", c.Endpoint().Name())
 	}
 }
 
-func TestOldReportCountsLess(t *testing.T) {
+func TestExpiredLoadReportIsIgnored(t *testing.T) {
 	f := fleet(3, Weights{Latency: 1}, Cost)
 	r := rand.New(rand.NewPCG(1, 1))
 	now := time.Unix(1000, 0)
@@ -82,23 +82,23 @@
 	f.Endpoint("e001").SetLoadReport(NewLoadReport(1, 500, 0, now))
 	c, _ := f.Choose(now, Request{Class: class, PromptTokens: 100, OutputTokens: 10}, r)
 	if c.Endpoint().Name() != "e000" {
-		t.Fatalf("chose %s, want e000, whose report is too old to count", c.Endpoint().Name())
+		t.Fatalf("chose %s, want e000, whose report has expired", c.Endpoint().Name())
 	}
 }
 
-func TestFailingEndpointIsEjectedAndReturnsSlowly(t *testing.T) {
+func TestFailingEndpointIsEjectedAndSlowlyRestored(t *testing.T) {
 	f := fleet(1, Weights{Latency: 1}, Cost)
 	r := rand.New(rand.NewPCG(1, 1))
 	now := time.Unix(1000, 0)
 	for range failuresToEject {
 		c, ok := f.Choose(now, Request{Class: class}, r)
 		if !ok {
-			t.Fatal("no seat before the ejection")
+			t.Fatal("no free slot before the ejection")
 		}
 		c.Endpoint().Done(now, Result{})
 	}
 	if _, ok := f.Choose(now, Request{Class: class}, r); ok {
-		t.Fatal("a failing endpoint got another call")
+		t.Fatal("an ejected endpoint was chosen")
 	}
 	now = now.Add(firstEjection + 500*time.Millisecond)
 	n := 0
@@ -109,25 +109,25 @@
 		n++
 	}
 	if n < 1 || n > defaultMaxCalls/4 {
-		t.Fatalf("%d seats half a second after the return, want 1 to %d", n, defaultMaxCalls/4)
+		t.Fatalf("%d slots half a second after the ejection, want 1 to %d", n, defaultMaxCalls/4)
 	}
 }
 
-func TestLimitShrinksWithSlowSteps(t *testing.T) {
+func TestSlowStepsReduceTheLimit(t *testing.T) {
 	f := fleet(1, Weights{Latency: 1}, Cost)
 	e := f.Endpoint("e000")
 	now := time.Unix(1000, 0)
-	e.underway.Add(61)
+	e.inFlight.Add(61)
 	e.Done(now, Result{OK: true, TimeToFirstToken: time.Millisecond, Duration: 11 * time.Millisecond, OutputTokens: 11})
 	for range 60 {
 		e.Done(now, Result{OK: true, TimeToFirstToken: time.Millisecond, Duration: 101 * time.Millisecond, OutputTokens: 11})
 	}
 	if got := e.Limit(); got > 8 {
-		t.Fatalf("limit %d after sixty steps at ten times the best, want 8 or less", got)
+		t.Fatalf("limit %d after sixty calls with ten times the shortest step, want 8 or less", got)
 	}
 }
 
-func TestPrefixesFollowDispatchesAndEvents(t *testing.T) {
+func TestPrefixIndex(t *testing.T) {
 	var p PrefixIndex
 	bounds := Boundaries([]*recordpb.Message{{Role: "system", Content: "rules of the club"}, {Role: "user", Content: "hello"}})
 	p.Add(bounds[0].Key, "e1")
@@ -139,11 +139,11 @@
 	p.Remove(bounds[1].Key, "e2")
 	p.RemoveEndpoint("e1")
 	if got := p.Find(bounds); len(got) != 0 {
-		t.Fatalf("found %v after the drops, want none", got)
+		t.Fatalf("found %v after removing all entries, want none", got)
 	}
 }
 
-// BenchmarkChoose measures one choice among 900 engines of one class.
+// BenchmarkChoose measures one choice among 900 endpoints of a class.
 func BenchmarkChoose(b *testing.B) {
 	f := fleet(1350, Weights{Latency: 1, Cache: 1}, Cost)
 	now := time.Unix(1000, 0)
@@ -160,10 +160,10 @@
 		for pb.Next() {
 			c, ok := f.Choose(now, req, r)
 			if !ok {
-				b.Fatal("no seat")
+				b.Fatal("no free slot")
 			}
 			c.Endpoint().FirstToken(c.UncachedTokens())
-			c.Endpoint().underway.Add(-1)
+			c.Endpoint().inFlight.Add(-1)
 		}
 	})
 }
@@ -176,7 +176,7 @@
 		for range 100 {
 			c, ok := f.Choose(time.Unix(1000, 0), Request{Class: class, LastEndpoint: life.Life{ID: "e001"}, Prefixes: []CachedPrefix{{Endpoint: "e001", Tokens: 9}}, PromptTokens: 9}, r)
 			if ok && c.Endpoint().Name() == "e001" {
-				t.Fatalf("policy %d chose a leaving endpoint", p)
+				t.Fatalf("policy %d chose a draining endpoint", p)
 			}
 		}
 	}
--- a/rockbarrow/placement/prefix.go
+++ b/rockbarrow/placement/prefix.go
@@ -14,20 +14,22 @@
 )
 
 const (
-	// maxPrefixes bounds the known prefixes of an instance.
+	// maxPrefixes bounds the number of indexed prefixes.
 	maxPrefixes = 65_536
-	// maxHolders bounds the endpoints remembered for one prefix.
-	maxHolders = 16
-	// lookBack is how many of the longest boundaries are looked up, besides the
-	// first one, which runs share.
-	lookBack = 6
+	// maxEndpointsPerPrefix bounds the number of endpoints per prefix.
+	maxEndpointsPerPrefix = 16
+	// maxBoundariesSearched is how many of the longest prefixes of a prompt are
+	// looked up, in addition to the first message, which runs often share.
+	maxBoundariesSearched = 6
 )
 
-// Boundary is the end of a message within a prompt.
+// Boundary is the end of a message within a prompt. It identifies the prefix up
+// to there.
 type Boundary struct {
-	// Key chains over all messages up to here; engines name prefixes by it.
+	// Key is a chained hash of all messages in the prefix. Engines identify
+	// prefixes by it.
 	Key uint64 `json:"key"`
-	// Tokens is the estimated size up to here.
+	// Tokens is the estimated length of the prefix.
 	Tokens int64 `json:"tokens"`
 }
 
@@ -44,7 +46,7 @@
 	return out
 }
 
-// Append returns the boundary after one more message.
+// NextBoundary returns the boundary after one more message.
 func NextBoundary(prev Boundary, m *recordpb.Message) Boundary {
 	var b [8]byte
 	binary.BigEndian.PutUint64(b[:], prev.Key)
@@ -57,34 +59,36 @@
 	return Boundary{Key: h.Sum64(), Tokens: prev.Tokens + int64(len(m.GetContent()))/4 + 4}
 }
 
-// Prefixes remembers which endpoints hold which prefixes. It is told by own
-// dispatches and by cache events; when events were lost the knowledge is
-// doubtful, which costs time and nothing else. The zero value is ready.
+// PrefixIndex maps prefixes to the endpoints that have them cached. It is updated
+// by the calls of this instance and by cache events from engines. Entries may be
+// stale if events are lost, which affects only latency. The zero value is ready
+// to use.
 type PrefixIndex struct {
-	known sync.Map // of uint64 to *holders
-	size  atomic.Int64
-	clock atomic.Int64
+	entries sync.Map // uint64 to *prefixEntry
+	size    atomic.Int64
+	clock   atomic.Int64
 }
 
-// holders is an immutable list, newest last.
-type holders struct {
+// prefixEntry is immutable. Its endpoints are ordered from oldest to newest.
+type prefixEntry struct {
 	endpoints []string
-	used      int64
+	lastUsed  int64
 }
 
-// Find returns what each endpoint holds of a prompt, the longest first.
+// Find returns the longest cached prefix of a prompt at each endpoint, longest
+// first.
 func (p *PrefixIndex) Find(bounds []Boundary) []CachedPrefix {
 	var out []CachedPrefix
 	for n := len(bounds) - 1; n >= 0; n-- {
-		if n > 0 && n < len(bounds)-lookBack {
+		if n > 0 && n < len(bounds)-maxBoundariesSearched {
 			continue
 		}
-		v, ok := p.known.Load(bounds[n].Key)
+		v, ok := p.entries.Load(bounds[n].Key)
 		if !ok {
 			continue
 		}
-		for _, e := range v.(*holders).endpoints {
-			if !slices.ContainsFunc(out, func(h CachedPrefix) bool { return h.Endpoint == e }) {
+		for _, e := range v.(*prefixEntry).endpoints {
+			if !slices.ContainsFunc(out, func(c CachedPrefix) bool { return c.Endpoint == e }) {
 				out = append(out, CachedPrefix{Endpoint: e, Tokens: bounds[n].Tokens})
 			}
 		}
@@ -92,71 +96,72 @@
 	return out
 }
 
-// Add records that an endpoint holds a prefix.
+// Add records that an endpoint has cached a prefix.
 func (p *PrefixIndex) Add(key uint64, endpoint string) {
 	now := p.clock.Add(1)
 	for {
-		v, ok := p.known.Load(key)
+		v, ok := p.entries.Load(key)
 		if !ok {
-			if _, loaded := p.known.LoadOrStore(key, &holders{endpoints: []string{endpoint}, used: now}); !loaded {
-				p.grown()
+			if _, loaded := p.entries.LoadOrStore(key, &prefixEntry{endpoints: []string{endpoint}, lastUsed: now}); !loaded {
+				p.recordInsert()
 				return
 			}
 			continue
 		}
-		old := v.(*holders)
+		old := v.(*prefixEntry)
 		list := slices.DeleteFunc(slices.Clone(old.endpoints), func(e string) bool { return e == endpoint })
 		list = append(list, endpoint)
-		if len(list) > maxHolders {
+		if len(list) > maxEndpointsPerPrefix {
 			list = list[1:]
 		}
-		if p.known.CompareAndSwap(key, old, &holders{endpoints: list, used: now}) {
+		if p.entries.CompareAndSwap(key, old, &prefixEntry{endpoints: list, lastUsed: now}) {
 			return
 		}
 	}
 }
 
-// Drop records that an endpoint no longer holds a prefix.
+// Remove records that an endpoint has evicted a prefix.
 func (p *PrefixIndex) Remove(key uint64, endpoint string) {
 	for {
-		v, ok := p.known.Load(key)
+		v, ok := p.entries.Load(key)
 		if !ok {
 			return
 		}
-		old := v.(*holders)
+		old := v.(*prefixEntry)
 		list := slices.DeleteFunc(slices.Clone(old.endpoints), func(e string) bool { return e == endpoint })
 		if len(list) == len(old.endpoints) {
 			return
 		}
 		if len(list) == 0 {
-			if p.known.CompareAndDelete(key, old) {
+			if p.entries.CompareAndDelete(key, old) {
 				p.size.Add(-1)
 				return
 			}
 			continue
 		}
-		if p.known.CompareAndSwap(key, old, &holders{endpoints: list, used: old.used}) {
+		if p.entries.CompareAndSwap(key, old, &prefixEntry{endpoints: list, lastUsed: old.lastUsed}) {
 			return
 		}
 	}
 }
 
-// Forget drops all that an endpoint held, when it restarted.
+// RemoveEndpoint removes an endpoint from all prefixes, as after its restart.
 func (p *PrefixIndex) RemoveEndpoint(endpoint string) {
-	p.known.Range(func(k, _ any) bool {
+	p.entries.Range(func(k, _ any) bool {
 		p.Remove(k.(uint64), endpoint)
 		return true
 	})
 }
 
-// grown drops the half used longest ago once the bound is passed.
-func (p *PrefixIndex) grown() {
+// recordInsert counts a new entry and removes the less recently used half of the entries
+// when there are more than maxPrefixes.
+func (p *PrefixIndex) recordInsert() {
 	if p.size.Add(1) <= maxPrefixes {
 		return
 	}
 	cut := p.clock.Load() - maxPrefixes/2
-	p.known.Range(func(k, v any) bool {
-		if v.(*holders).used < cut && p.known.CompareAndDelete(k, v) {
+	p.entries.Range(func(k, v any) bool {
+		if v.(*prefixEntry).lastUsed < cut && p.entries.CompareAndDelete(k, v) {
 			p.size.Add(-1)
 		}
 		return true
--- a/rockbarrow/placement/others_test.go
+++ b/rockbarrow/placement/remote_test.go
@@ -12,8 +12,8 @@
 	"rockbarrow.dev/schema/configpb"
 )
 
-// TestWhatOthersTellCounts: an endpoint that is full of others' calls, or that fails
-// them, is left alone; what they told long ago counts for nothing.
+// An endpoint that is full or failing according to other instances is not chosen.
+// Expired reports are ignored.
 func TestWhatOthersTellCounts(t *testing.T) {
 	tests := []struct {
 		name             string
@@ -21,13 +21,13 @@
 	}{{"full", 6, 0}, {"failing", 0, 60}}
 	for _, test := range tests {
 		f, r, now := spreadFleet(6), rand.New(rand.NewPCG(1, 1)), time.Unix(100, 0)
-		f.Endpoint("a1").setOthers(now, test.running, test.failing)
+		f.Endpoint("a1").setRemoteLoad(now, test.running, test.failing)
 		for range 4 {
 			if c, _ := f.Choose(now, spreadRequest(), r); c.Endpoint().Name() == "a1" {
-				t.Errorf("%s: a1 got a call", test.name)
+				t.Errorf("%s: a1 was chosen", test.name)
 			}
 		}
-		later, count := now.Add(othersLife), 0
+		later, count := now.Add(remoteStateTTL), 0
 		for range 20 {
 			c, ok := f.Choose(later, spreadRequest(), r)
 			if ok && c.Endpoint().Name() == "a1" {
@@ -35,7 +35,7 @@
 			}
 		}
 		if count == 0 {
-			t.Errorf("%s: a1 gets no calls on account of old news", test.name)
+			t.Errorf("%s: a1 is not chosen because of an expired report", test.name)
 		}
 	}
 }
@@ -44,21 +44,21 @@
 	f, r, now := spreadFleet(20), rand.New(rand.NewPCG(1, 1)), time.Unix(100, 0)
 	req := spreadRequest()
 	req.LastEndpoint = life.Life{ID: "b1"}
-	f.Endpoint("b1").setOthers(now, 0, 10)
+	f.Endpoint("b1").setRemoteLoad(now, 0, 10)
 	if c, _ := f.Choose(now, req, r); c.Endpoint().Name() != "b1" {
-		t.Error("a program left its endpoint on account of a few failures")
+		t.Error("a program left its endpoint at a failure rate of 10%")
 	}
-	f.Endpoint("b1").setOthers(now, 0, 40)
+	f.Endpoint("b1").setRemoteLoad(now, 0, 40)
 	if c, _ := f.Choose(now, req, r); c.Endpoint().Name() == "b1" {
-		t.Error("a program stays with an endpoint that fails")
+		t.Error("a program stays on an endpoint with a failure rate of 40%")
 	}
 }
 
-// TestOldNewsCausesNoCrowd: fifty instances hear the same and choose before they hear
-// of each other. The endpoint that looks best must not get all of their calls.
+// Fifty instances that choose by the same report must not all choose the least
+// loaded endpoint.
 func TestOldNewsCausesNoCrowd(t *testing.T) {
 	now := time.Unix(100, 0)
-	count, most := map[string]int{}, 0
+	count, highest := map[string]int{}, 0
 	for i := range 50 {
 		var list []*configpb.Endpoint
 		for k := range 24 {
@@ -66,21 +66,21 @@
 			list = append(list, &configpb.Endpoint{Name: name, Domain: "a", Service: "s", MaxCalls: 6, Address: name})
 		}
 		f := NewServiceFleet(time.Time{}, listed(list), Spread, nil)
-		f.first = uint64(i)
+		f.windowStart = uint64(i)
 		for _, e := range f.Endpoints() {
-			e.setOthers(now, 2, 0)
+			e.setRemoteLoad(now, 2, 0)
 		}
-		f.Endpoint("e00").setOthers(now, 0, 0)
+		f.Endpoint("e00").setRemoteLoad(now, 0, 0)
 		c, _ := f.Choose(now, spreadRequest(), rand.New(rand.NewPCG(uint64(i), 1)))
 		count[c.Endpoint().Name()]++
-		most = max(most, count[c.Endpoint().Name()])
+		highest = max(highest, count[c.Endpoint().Name()])
 	}
-	if count["e00"] == 0 || most > 20 {
-		t.Errorf("%v", count)
+	if count["e00"] == 0 || highest > 20 {
+		t.Errorf("calls %v, want at least one at e00 and at most 20 at any endpoint", count)
 	}
 }
 
-func TestUseCountsHowCallsEnded(t *testing.T) {
+func TestUsageCountsOutcomes(t *testing.T) {
 	f, r, now := spreadFleet(6), rand.New(rand.NewPCG(1, 1)), time.Unix(100, 0)
 	req := spreadRequest()
 	req.LastEndpoint = life.Life{ID: "a1"}
@@ -94,9 +94,9 @@
 	}
 }
 
-// TestAnInstanceGoesBackToFewEndpoints: each instance uses few of many endpoints, and
-// all instances together use them all.
-func TestAnInstanceGoesBackToFewEndpoints(t *testing.T) {
+// Each instance uses a few of many endpoints, so that connections are reused. All
+// instances together use most of them, and a new list does not move the window.
+func TestAnInstanceUsesASubsetOfEndpoints(t *testing.T) {
 	now := time.Unix(100, 0)
 	used := map[string]bool{}
 	for i := range 40 {
@@ -106,33 +106,33 @@
 			list = append(list, &configpb.Endpoint{Name: name, Domain: "a", Service: "s", MaxCalls: 6, Address: name})
 		}
 		f, own := NewServiceFleet(time.Time{}, listed(list), Spread, nil), map[string]bool{}
-		f.first = uint64(i) * 37
+		f.windowStart = uint64(i) * 37
 		r := rand.New(rand.NewPCG(uint64(i), 1))
 		for range 400 {
 			c, _ := f.Choose(now, spreadRequest(), r)
 			c.Endpoint().Done(now, Result{OK: true})
 			own[c.Endpoint().Name()], used[c.Endpoint().Name()] = true, true
 		}
-		if len(own) > window+draws {
-			t.Fatalf("an instance uses %d endpoints", len(own))
+		if len(own) > windowSize+drawSize {
+			t.Fatalf("an instance uses %d endpoints, want at most %d", len(own), windowSize+drawSize)
 		}
-		if again := NewServiceFleet(time.Time{}, listed(list), Spread, f); again.first != f.first {
-			t.Fatal("a new list moves the window")
+		if again := NewServiceFleet(time.Time{}, listed(list), Spread, f); again.windowStart != f.windowStart {
+			t.Fatal("a new list moved the window")
 		}
 	}
 	if len(used) < 150 {
-		t.Errorf("all instances use %d of 200 endpoints", len(used))
+		t.Errorf("all instances use %d of 200 endpoints, want at least 150", len(used))
 	}
 }
 
-// TestWhatOthersDoNotTellAgainIsOver: only the endpoints with calls are told, so that one that is left out has none.
-func TestWhatOthersDoNotTellAgainIsOver(t *testing.T) {
+// Reports list only endpoints with calls, so one that is missing from the next report has none.
+func TestEndpointsMissingFromAReportHaveNoRemoteLoad(t *testing.T) {
 	f, now := spreadFleet(6), time.Unix(100, 0)
 	a1, b1 := f.Endpoint("a1"), f.Endpoint("b1")
 	f.SetRemoteLoads(now, []RemoteLoad{{Endpoint: a1, Running: 6, FailingPercent: 50}, {Endpoint: b1, Running: 1}})
 	f.SetRemoteLoads(now, []RemoteLoad{{Endpoint: b1, Running: 2}})
 	at := now.UnixNano()
-	if a1.others.runningAt(at) != 0 || a1.others.failingAt(at) != 0 || b1.others.runningAt(at) != 2 {
-		t.Errorf("%d calls and %v failing at one that is over, %d at the other", a1.others.runningAt(at), a1.others.failingAt(at), b1.others.runningAt(at))
+	if a1.remote.inFlightAt(at) != 0 || a1.remote.failureRateAt(at) != 0 || b1.remote.inFlightAt(at) != 2 {
+		t.Errorf("a1 has %d calls and failure rate %v, want 0 and 0; b1 has %d calls, want 2", a1.remote.inFlightAt(at), a1.remote.failureRateAt(at), b1.remote.inFlightAt(at))
 	}
 }
--- a/rockbarrow/placement/size_test.go
+++ b/rockbarrow/placement/scale_test.go
@@ -16,8 +16,8 @@
 	"rockbarrow.dev/schema/configpb"
 )
 
-// fleetOf is a configuration of n endpoints of one model.
-func fleetOf(n int) *control.Snapshot {
+// snapshotOf returns a configuration of n endpoints of one model.
+func snapshotOf(n int) *control.Snapshot {
 	d := &configpb.Document{Bindings: []*configpb.Binding{{Name: "b", Domains: []string{"a"}}}}
 	for i := range n {
 		d.Endpoints = append(d.Endpoints, &configpb.Endpoint{Name: fmt.Sprintf("e%d", i), Domain: "a", Address: "http://x", Models: []string{"m"}})
@@ -25,11 +25,11 @@
 	return control.NewSnapshot(d)
 }
 
-// BenchmarkNewFleet is the work for one change of a configuration or list, by both ways
-// in which endpoints are told.
+// BenchmarkNewFleet measures rebuilding the index, from a configuration and from a
+// list of endpoints.
 func BenchmarkNewFleet(b *testing.B) {
 	for _, n := range []int{100, 1000, 10000} {
-		s := fleetOf(n)
+		s := snapshotOf(n)
 		old := NewFleet(s, Weights{}, Cost, nil)
 		b.Run(fmt.Sprintf("configured=%d", n), func(b *testing.B) {
 			for b.Loop() {
@@ -45,33 +45,33 @@
 	}
 }
 
-// TestIndexingGoesWithTheEndpoints: each endpoint was put in its place among all others of
-// its class, from a random order, so that a change of one took time by the square of all.
+// Guards against quadratic indexing: inserting endpoints in random order into the
+// sorted list of their class.
 func TestIndexingGoesWithTheEndpoints(t *testing.T) {
-	// most is how many times dearer the way by bindings may be than the plain one; it was
-	// some fifty times at this size.
-	const endpoints, most, runs = 8000, 15, 5
-	s := fleetOf(endpoints)
+	// maxRatio bounds the time to index by bindings relative to indexing by service.
+	// A quadratic index is some fifty times slower at this size.
+	const endpoints, maxRatio, runs = 8000, 15, 5
+	s := snapshotOf(endpoints)
 	list := s.Document().GetEndpoints()
 	old := NewFleet(s, Weights{}, Cost, nil)
 	if n := len(old.Candidates(Class{Model: "m", Binding: "b"})); n != endpoints {
 		t.Fatalf("%d endpoints are candidates, want %d", n, endpoints)
 	}
-	bindings, plain := time.Hour, time.Hour
+	byBinding, byService := time.Hour, time.Hour
 	for range runs {
-		begun := time.Now()
+		started := time.Now()
 		NewFleet(s, Weights{}, Cost, old)
-		bindings = min(bindings, time.Since(begun))
-		begun = time.Now()
+		byBinding = min(byBinding, time.Since(started))
+		started = time.Now()
 		NewServiceFleet(time.Time{}, listed(list), Spread, old)
-		plain = min(plain, time.Since(begun))
+		byService = min(byService, time.Since(started))
 	}
-	if bindings > most*plain {
-		t.Errorf("%v by bindings, %v without", bindings, plain)
+	if byBinding > maxRatio*byService {
+		t.Errorf("%v by binding, %v by service, want at most %d times as long", byBinding, byService, maxRatio)
 	}
 }
 
-// TestANewListCostsWhatChanged: all endpoints were indexed anew with each list.
+// Next must not index all endpoints again for a small change.
 func TestANewListCostsWhatChanged(t *testing.T) {
 	now := time.Unix(100, 0)
 	for _, n := range []int{1000, 2000} {
@@ -89,8 +89,8 @@
 	}
 }
 
-// TestNextIsTheFleetOfTheWholeList draws changes, and compares with an index of everything.
-func TestNextIsTheFleetOfTheWholeList(t *testing.T) {
+// After random changes, Next must return the same fleet as NewServiceFleet for the whole list.
+func TestNextEqualsAFullRebuild(t *testing.T) {
 	r, now := rand.New(rand.NewPCG(1, 1)), time.Unix(100, 0)
 	present := map[string]*configpb.Endpoint{}
 	f := NewServiceFleet(now, nil, Spread, nil)
@@ -119,7 +119,7 @@
 			got, want := f.Candidates(class), whole.Candidates(class)
 			same := func(a, b *Endpoint) bool { return proto.Equal(a.Config(), b.Config()) }
 			if !slices.EqualFunc(got, want, same) || f.Slots(now, class, 3) != whole.Slots(now, class, 3) {
-				t.Fatalf("%v: %d endpoints and %d places, want %d and %d", class, len(got), f.Slots(now, class, 3), len(want), whole.Slots(now, class, 3))
+				t.Fatalf("%v: %d endpoints and %d slots, want %d and %d", class, len(got), f.Slots(now, class, 3), len(want), whole.Slots(now, class, 3))
 			}
 		}
 		if len(f.Endpoints()) != len(present) {
@@ -132,8 +132,8 @@
 	return slices.ContainsFunc(list, func(e *configpb.Endpoint) bool { return e.GetName() == name })
 }
 
-// TestPlacesCountWhatIsKnown: calls of others, endpoints that are out, and calls from here, of few among many.
-func TestPlacesCountWhatIsKnown(t *testing.T) {
+// Slots, which looks only at tracked endpoints, must equal a computation over the whole fleet.
+func TestSlotsEqualAFullScan(t *testing.T) {
 	r, now := rand.New(rand.NewPCG(2, 2)), time.Unix(100, 0)
 	for range 200 {
 		var list []*configpb.Endpoint
@@ -155,14 +155,14 @@
 		}
 		f.SetRemoteLoads(now, loads)
 		later := now.Add(time.Duration(r.IntN(2)) * 1300 * time.Millisecond)
-		all, slots, others := 0, 0, 0
+		all, slots, remote := 0, 0, 0
 		for _, e := range f.Endpoints() {
 			if e.isUsable(later.UnixNano()) {
-				all, slots, others = all+9, slots+6, others+int(e.others.runningAt(later.UnixNano()))
+				all, slots, remote = all+9, slots+6, remote+int(e.remote.inFlightAt(later.UnixNano()))
 			}
 		}
-		if got, want := f.Slots(later, Class{Service: "s"}, 4), min(slots, max(1, all/4, all-others)); got != want {
-			t.Fatalf("%d places, want %d", got, want)
+		if got, want := f.Slots(later, Class{Service: "s"}, 4), min(slots, max(1, all/4, all-remote)); got != want {
+			t.Fatalf("%d slots, want %d", got, want)
 		}
 	}
 }
--- a/rockbarrow/placement/spread.go
+++ b/rockbarrow/placement/spread.go
@@ -10,139 +10,139 @@
 )
 
 const (
-	// farther is what another failure domain adds to a load, as a share of an
-	// endpoint's places, for calls without a prompt: their time does not depend on
-	// the load while places are free, and what stays inside is not lost in a cut.
-	farther = 0.34
-	// fartherPrompt is the same for calls with a prompt, which batch: each call
-	// more slows the others down by some hundredths. Measured against 0.1 in
-	// docs/ROUNDS.md.
-	fartherPrompt = 0.03
-	// outOfReach is what a domain to be avoided or a silent endpoint adds: more than
-	// any load.
-	outOfReach = 2
+	// crossDomainLoad is added to the load of endpoints in other failure domains,
+	// as a fraction of their slots, for calls without a prompt. The latency of
+	// these does not depend on the load while slots are free, and local calls
+	// survive a network partition.
+	crossDomainLoad = 0.34
+	// crossDomainPromptLoad replaces crossDomainLoad for calls with a prompt.
+	// These are batched, so that each additional call slows down the others and
+	// balance matters more than locality.
+	crossDomainPromptLoad = 0.03
+	// unreachableLoad is added for avoided failure domains and unresponsive
+	// endpoints. It exceeds any real load.
+	unreachableLoad = 2
 )
 
-// Listed is an endpoint of a list.
+// ListedEndpoint is an entry of an endpoint list.
 type ListedEndpoint struct {
 	Config *configpb.Endpoint
-	// BornMS tells its life, 0 if that is not known.
+	// BornMS is when the endpoint process started, in Unix milliseconds; 0 if unknown.
 	BornMS uint64
 }
 
-// drawFirst draws where draws begin.
-func drawFirst() uint64 { return rand.Uint64() }
+func randomWindowStart() uint64 { return rand.Uint64() }
 
-// DrawFrom sets where draws begin in each list of endpoints, which is else drawn by lot: for
-// runs that repeat.
-func (f *Fleet) SetWindowStart(first uint64) { f.first = first }
+// SetWindowStart sets where this instance's window begins, which is random by
+// default. It makes simulations repeatable.
+func (f *Fleet) SetWindowStart(start uint64) { f.windowStart = start }
 
-// spread stays with the run's last endpoint while it has room, and else takes the
-// one with the smallest load of a few that are drawn, half of them in the own failure
-// domain. What others told is some 0.3 s old: were all endpoints compared, all
-// instances would choose the same one until they hear of each other.
-func (f *Fleet) spread(now int64, list []*Endpoint, req Request, r *rand.Rand) (Choice, bool) {
-	if last := f.Endpoint(req.LastEndpoint.ID); last != nil && last.Life().Same(req.LastEndpoint) && has(list, last) && last.mayKeep(now, req) {
-		return Choice{endpoint: last, cached: req.PromptTokens}, true
+// chooseSpread keeps the run on its last endpoint if possible. Otherwise it
+// compares a few endpoints from the window and returns the least loaded one.
+// It does not compare all of them, because the load of other instances is known
+// with a delay of 0.3 s: all instances would choose the same endpoint.
+func (f *Fleet) chooseSpread(now int64, list []*Endpoint, req Request, r *rand.Rand) (Choice, bool) {
+	if last := f.Endpoint(req.LastEndpoint.ID); last != nil && last.Life().Same(req.LastEndpoint) && containsEndpoint(list, last) && last.canKeepRun(now, req) {
+		return Choice{endpoint: last, cachedTokens: req.PromptTokens}, true
 	}
 	if len(list) == 0 {
 		return Choice{}, false
 	}
-	d := draw{now: now, req: req, near: draws, any: draws}
-	start := int(f.first%uint64(len(list))) + r.IntN(min(len(list), window))
+	d := candidateDraw{now: now, req: req, localLeft: drawSize, totalLeft: drawSize}
+	start := int(f.windowStart%uint64(len(list))) + r.IntN(min(len(list), windowSize))
 	for i := range list {
 		d.consider(list[(start+i)%len(list)])
-		if d.near == 0 && d.any == 0 {
+		if d.localLeft == 0 && d.totalLeft == 0 {
 			break
 		}
 	}
 	if d.best == nil {
 		return Choice{}, false
 	}
-	return Choice{endpoint: d.best, lacking: req.PromptTokens}, true
+	return Choice{endpoint: d.best, uncachedTokens: req.PromptTokens}, true
 }
 
-// mayKeep reports whether a run's last endpoint is good enough to keep the run, so that
-// no other one has to read its prompt. Its load is no reason to leave: a prompt that is
-// read elsewhere holds up every call of the batch there, and the cache that it fills
-// belonged to another run, which then moves too (docs/POLICY.md).
-func (e *Endpoint) mayKeep(now int64, req Request) bool {
+// canKeepRun reports whether a run may stay on its last endpoint, which has its
+// prompt cached. Load is not considered: moving the run costs a prefill that
+// delays the whole batch elsewhere and evicts the cache of another run, which
+// then moves too (docs/POLICY.md).
+func (e *Endpoint) canKeepRun(now int64, req Request) bool {
 	switch {
-	case avoided(req, e), slices.Contains(req.AvoidDomains, e.domain):
+	case isAvoided(req, e), slices.Contains(req.AvoidDomains, e.domain):
 		return false
-	case !e.open(now), e.silent(now):
+	case !e.isAvailable(now), e.isUnresponsive(now):
 		return false
 	}
-	return e.others.failingAt(now) < failingLeave
+	return e.remote.failureRateAt(now) < maxFailureRateToStay
 }
 
-// draws is how many open endpoints of the own domain, and how many of all, are
-// compared. More find a better one in what was told, fewer spread better what was
-// not told yet. Comparing all of them was no better on the one day where it was tried
-// (docs/ROUNDS.md, 9); other numbers were not.
-const draws = 3
+// drawSize is the number of endpoints compared from the local failure domain, and
+// from all failure domains. A larger draw makes better use of the reported load;
+// a smaller one spreads calls better while reports are stale.
+const drawSize = 3
 
-// window is how many endpoints in a row an instance draws from first. Where there are
-// many, each instance so goes back to the same few, over connections that it has;
-// instances begin at different places, so that all endpoints are used evenly.
-const window = 24
+// windowSize is the number of consecutive endpoints where an instance starts its
+// draws, so that it reuses connections to the same few. Windows start at
+// different offsets per instance, so that all endpoints are used evenly.
+const windowSize = 24
 
-// draw compares endpoints in the order in which they are considered.
-type draw struct {
+// candidateDraw keeps the least loaded of the endpoints considered so far.
+type candidateDraw struct {
 	now int64
 	req Request
-	// near and any are how many endpoints of the own domain and of all domains are
-	// still wanted. Those that are silent, failing or likely out of reach do not count.
-	near, any int
-	best      *Endpoint
-	least     float64
+	// localLeft and totalLeft are the endpoints still to be compared from the
+	// local and from all failure domains. Full, unresponsive, failing and probably
+	// unreachable endpoints are not counted.
+	localLeft, totalLeft int
+	best                 *Endpoint
+	bestLoad             float64
 }
 
-func (d *draw) consider(e *Endpoint) {
-	own := e.domain == d.req.Domain
-	if d.any == 0 && !own || !e.open(d.now) || avoided(d.req, e) {
+func (d *candidateDraw) consider(e *Endpoint) {
+	local := e.domain == d.req.Domain
+	if d.totalLeft == 0 && !local || !e.isAvailable(d.now) || isAvoided(d.req, e) {
 		return
 	}
-	load := e.taken(d.now) + distance(e, d.req) + failingWeight*e.others.failingAt(d.now)
-	if e.silent(d.now) {
-		load += outOfReach
+	load := e.utilization(d.now) + domainPenalty(e, d.req) + failureRateWeight*e.remote.failureRateAt(d.now)
+	if e.isUnresponsive(d.now) {
+		load += unreachableLoad
 	}
-	if d.best == nil || load < d.least {
-		d.best, d.least = e, load
+	if d.best == nil || load < d.bestLoad {
+		d.best, d.bestLoad = e, load
 	}
 	if load >= 1 {
 		return
 	}
-	if own && d.near > 0 {
-		d.near--
-	} else if d.any > 0 {
-		d.any--
+	if local && d.localLeft > 0 {
+		d.localLeft--
+	} else if d.totalLeft > 0 {
+		d.totalLeft--
 	}
 }
 
-// distance is what an endpoint's failure domain adds to its load.
-func distance(e *Endpoint, req Request) float64 {
+// domainPenalty returns the load added for an endpoint's failure domain.
+func domainPenalty(e *Endpoint, req Request) float64 {
 	switch {
 	case slices.Contains(req.AvoidDomains, e.domain):
-		return outOfReach
+		return unreachableLoad
 	case e.domain == req.Domain:
 		return 0
 	case req.PromptTokens > 0:
-		return fartherPrompt
+		return crossDomainPromptLoad
 	}
-	return farther
+	return crossDomainLoad
 }
 
-// taken is the share of the endpoint's places that are known to be taken.
-func (e *Endpoint) taken(now int64) float64 {
-	return float64(e.underway.Load()+e.others.runningAt(now)) / float64(e.maxCalls())
+// utilization returns the fraction of the endpoint's slots known to be in use.
+func (e *Endpoint) utilization(now int64) float64 {
+	return float64(e.inFlight.Load()+e.remote.inFlightAt(now)) / float64(e.maxCalls())
 }
 
-// queuedShare is how many calls may wait at an endpoint, as a share of those that it
-// runs. Without any, endpoints stand idle whose calls have ended, as news of others' calls
-// is 0.3 s old; with as many as it runs, programs wait there that should have been
-// refused. Measured against the root of the slots and all of them in docs/POLICY.md.
-const queuedShare = 0.5
+// queueShare is the number of calls that may wait at an endpoint, as a fraction of
+// its slots. Without a queue, endpoints are idle until other instances learn of
+// finished calls, which takes 0.3 s; with a longer one, programs wait that should
+// be rejected (docs/POLICY.md).
+const queueShare = 0.5
 
-// queued is how many calls may wait at an endpoint that runs n.
-func queued(n int) int { return int(queuedShare * float64(n)) }
+// queueSlots returns the number of calls that may wait at an endpoint with n slots.
+func queueSlots(n int) int { return int(queueShare * float64(n)) }
--- /dev/null
+++ b/rockbarrow/placement/tracked.go
@@ -0,0 +1,102 @@
+// SPDX-License-Identifier: MIT
+
+package placement
+
+import (
+	"slices"
+	"sync"
+	"time"
+)
+
+// trackedEndpoints lists the endpoints that have load or usage state, so that periodic work does not iterate over the
+// whole fleet. The zero value is ready to use.
+type trackedEndpoints struct {
+	mu sync.Mutex
+	// used endpoints have had calls from this instance; remotelyLoaded ones were in the last report of other instances.
+	used, remotelyLoaded []*Endpoint
+}
+
+// markUsed adds an endpoint on its first call.
+func (t *trackedEndpoints) markUsed(e *Endpoint) {
+	if e.used.Load() || e.used.Swap(true) {
+		return
+	}
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.used = append(t.used, e)
+}
+
+// prune removes the endpoints that are not in a fleet.
+func (t *trackedEndpoints) prune(f *Fleet) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	gone := func(e *Endpoint) bool { return f.Endpoint(e.name) != e }
+	t.used, t.remotelyLoaded = slices.DeleteFunc(slices.Clone(t.used), gone), slices.DeleteFunc(slices.Clone(t.remotelyLoaded), gone)
+}
+
+// snapshot returns both lists. They must not be changed.
+func (t *trackedEndpoints) snapshot() (used, remotelyLoaded []*Endpoint) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.used, t.remotelyLoaded
+}
+
+// UsedEndpoints returns the endpoints that have had calls from this instance.
+func (f *Fleet) UsedEndpoints() []*Endpoint {
+	used, _ := f.tracked.snapshot()
+	return used
+}
+
+// RemoteLoad is the load of an endpoint as reported by other instances: their calls in flight, and the recent failure
+// rate over all instances in percent.
+type RemoteLoad struct {
+	Endpoint                *Endpoint
+	Running, FailingPercent uint32
+}
+
+// SetRemoteLoads replaces the loads reported by other instances. Endpoints that are not listed have no remote load.
+func (f *Fleet) SetRemoteLoads(now time.Time, loads []RemoteLoad) {
+	t := f.tracked
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for _, e := range t.remotelyLoaded {
+		e.setRemoteLoad(now, 0, 0)
+	}
+	t.remotelyLoaded = make([]*Endpoint, 0, len(loads))
+	for _, l := range loads {
+		l.Endpoint.setRemoteLoad(now, l.Running, l.FailingPercent)
+		t.remotelyLoaded = append(t.remotelyLoaded, l.Endpoint)
+	}
+}
+
+// Slots returns how many calls this instance may have at the usable endpoints of a
+// service: the slots that other instances leave free, and at least an even share among
+// the given number of instances, since others may not know of this instance's demand yet.
+func (f *Fleet) Slots(now time.Time, class Class, instances int) int {
+	c := f.classes[class]
+	if c == nil {
+		return 0
+	}
+	at := now.UnixNano()
+	slots, all, remote := c.slots, c.slots+c.queueSlots, 0
+	used, remotelyLoaded := f.tracked.snapshot()
+	for _, e := range used {
+		// Only endpoints with calls from this instance can be ejected or unresponsive.
+		if e.config.GetService() == class.Service && !e.config.GetDraining() && !e.isUsable(at) {
+			n := int(e.maxCalls())
+			slots -= n
+			all -= n + queueSlots(n)
+		}
+	}
+	for _, e := range remotelyLoaded {
+		if e.config.GetService() == class.Service && e.isUsable(at) {
+			remote += int(e.remote.inFlightAt(at))
+		}
+	}
+	return min(slots, max(1, all/instances, all-remote))
+}
+
+// isUsable reports whether the endpoint's slots count as capacity.
+func (e *Endpoint) isUsable(now int64) bool {
+	return !e.Draining() && now >= e.ejectedUntil.Load() && !e.isUnresponsive(now)
+}
