--- a/rockbarrow/entry/gate.go
+++ b/rockbarrow/entry/gate.go
@@ -58,7 +58,7 @@
 		case <-tick.C:
 			g.resize(places)
 		case <-ctx.Done():
-			g.event(limiter.Withdrawn{ID: a.ID})
+			g.event(limiter.Cancelled{ID: a.ID})
 			select {
 			case act := <-answer:
 				// It came in the same moment.
@@ -105,13 +105,13 @@
 		return
 	}
 	g.resized = now
-	g.handle(now, limiter.Resized{Places: places()})
+	g.handle(now, limiter.Resized{Slots: places()})
 }
 
 func (g *gate) event(e limiter.Event) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if w, ok := e.(limiter.Withdrawn); ok {
+	if w, ok := e.(limiter.Cancelled); ok {
 		delete(g.waiting, w.ID)
 	}
 	g.handle(time.Now(), e)
@@ -155,9 +155,9 @@
 	r := x.request
 	spent := time.Since(r.Arrived)
 	return limiter.Arrived{
-		Underway: r.Previous != "" || x.last.ID != "" || r.LastEvent != "",
-		Left:     r.Finish - spent, Timed: r.HasFinish,
-		Patience: time.Duration(x.route.GetObjectiveMs())*time.Millisecond - spent, Wait: x.clientPatience() - spent,
+		InProgress: r.Previous != "" || x.last.ID != "" || r.LastEvent != "",
+		Remaining:  r.Finish - spent, HasDeadline: r.HasFinish,
+		MaxWait: time.Duration(x.route.GetObjectiveMs())*time.Millisecond - spent, ClientTimeout: x.clientPatience() - spent,
 		Priority: x.priority(), Customer: x.customer.GetName(), Weight: x.customer.GetRequestsPerSecond(),
 	}
 }
--- a/rockbarrow/limiter/event.go
+++ b/rockbarrow/limiter/event.go
@@ -14,16 +14,16 @@
 type Arrived struct {
 	ID ID
 	// Underway is true if a turn of its program was served before.
-	Underway bool
+	InProgress bool
 	// Left is the time until its program should be over, where Timed says that it is
 	// known.
-	Left  time.Duration
-	Timed bool
+	Remaining   time.Duration
+	HasDeadline bool
 	// Patience is how long it may wait if it is the first turn of a new program, or a
 	// turn of a program that is late.
-	Patience time.Duration
+	MaxWait time.Duration
 	// Wait is how long its client waits for an answer; zero is no bound.
-	Wait time.Duration
+	ClientTimeout time.Duration
 	// Priority 0 is the most urgent.
 	Priority uint32
 	// Customer is whose request it is, or "", and Weight its part of the places, 0 for one part.
@@ -35,14 +35,14 @@
 type Finished struct{ ID ID }
 
 // Withdrawn is a request that no longer waits: its client left or its time is over.
-type Withdrawn struct{ ID ID }
+type Cancelled struct{ ID ID }
 
 // Resized tells how many places there are for this instance.
-type Resized struct{ Places int }
+type Resized struct{ Slots int }
 
 func (Arrived) event()   {}
 func (Finished) event()  {}
-func (Withdrawn) event() {}
+func (Cancelled) event() {}
 func (Resized) event()   {}
 
 // Action is what a [Limiter] wants done: [Start] or [Reject].
--- a/rockbarrow/limiter/limiter.go
+++ b/rockbarrow/limiter/limiter.go
@@ -87,10 +87,10 @@
 		return append(out, l.arrive(now, e)...)
 	case Finished:
 		l.finish(now, e.ID)
-	case Withdrawn:
+	case Cancelled:
 		l.drop(e.ID)
 	case Resized:
-		l.places = e.Places
+		l.places = e.Slots
 	}
 	return append(out, l.fill(now)...)
 }
@@ -134,16 +134,16 @@
 func (l *Limiter) arrive(now time.Time, e Arrived) []Action {
 	l.arrivals++
 	w := &waiter{id: e.ID, group: groupOf(e), priority: e.Priority, virtual: l.clock.Join(l.customers[e.Customer]), arrival: l.arrivals}
-	if e.Timed {
-		w.due = now.Add(e.Left)
+	if e.HasDeadline {
+		w.due = now.Add(e.Remaining)
 	}
 	most := time.Duration(math.MaxInt64)
-	if e.Wait > 0 {
-		most = max(0, e.Wait-l.taken)
+	if e.ClientTimeout > 0 {
+		most = max(0, e.ClientTimeout-l.taken)
 		w.latest = now.Add(most)
 	}
 	if w.group != underway {
-		most = min(most, e.Patience)
+		most = min(most, e.MaxWait)
 	}
 	at, _ := slices.BinarySearchFunc(l.waiting, w, before)
 	if at > 0 || !l.room(w.group) {
@@ -185,9 +185,9 @@
 
 func groupOf(e Arrived) group {
 	switch {
-	case e.Timed && e.Left <= 0:
+	case e.HasDeadline && e.Remaining <= 0:
 		return late
-	case e.Underway:
+	case e.InProgress:
 		return underway
 	}
 	return fresh
--- a/rockbarrow/limiter/limiter_test.go
+++ b/rockbarrow/limiter/limiter_test.go
@@ -23,20 +23,20 @@
 	return started, rejected
 }
 
-func newProgram(id ID, patience time.Duration) Arrived { return Arrived{ID: id, Patience: patience} }
+func newProgram(id ID, patience time.Duration) Arrived { return Arrived{ID: id, MaxWait: patience} }
 
 func laterTurn(id ID, left time.Duration) Arrived {
-	return Arrived{ID: id, Underway: true, Timed: true, Left: left}
+	return Arrived{ID: id, InProgress: true, HasDeadline: true, Remaining: left}
 }
 
 func TestTurnsOfProgramsUnderWayGoFirst(t *testing.T) {
 	var l Limiter
-	l.Handle(start, Resized{Places: 1})
+	l.Handle(start, Resized{Slots: 1})
 	l.Handle(start, newProgram(1, time.Second))
 	for _, a := range []Arrived{
-		{ID: 2, Timed: true, Left: time.Minute, Patience: time.Hour, Priority: 1},
-		{ID: 3, Timed: true, Left: time.Minute, Patience: time.Hour},
-		{ID: 4, Timed: true, Underway: true, Patience: time.Hour},
+		{ID: 2, HasDeadline: true, Remaining: time.Minute, MaxWait: time.Hour, Priority: 1},
+		{ID: 3, HasDeadline: true, Remaining: time.Minute, MaxWait: time.Hour},
+		{ID: 4, HasDeadline: true, InProgress: true, MaxWait: time.Hour},
 		laterTurn(5, 2*time.Second), laterTurn(6, time.Second),
 	} {
 		if started, rejected := ids(l.Handle(start, a)); started != nil || rejected != nil {
@@ -58,12 +58,12 @@
 // part of the places, also if it was there first; and one that was away has saved nothing up.
 func TestCustomersShareByTheirWeights(t *testing.T) {
 	var l Limiter
-	l.Handle(start, Resized{Places: 1})
+	l.Handle(start, Resized{Slots: 1})
 	l.Handle(start, newProgram(1, time.Hour))
 	owner := map[ID]string{}
 	arrive := func(id ID, customer string, weight float64) {
 		owner[id] = customer
-		l.Handle(start, Arrived{ID: id, Patience: time.Hour, Customer: customer, Weight: weight})
+		l.Handle(start, Arrived{ID: id, MaxWait: time.Hour, Customer: customer, Weight: weight})
 	}
 	for i := range ID(30) {
 		arrive(100+i, "loud", 1)
@@ -96,7 +96,7 @@
 
 func TestANewProgramIsRejectedOnceItWouldWaitTooLong(t *testing.T) {
 	var l Limiter
-	l.Handle(start, Resized{Places: 9})
+	l.Handle(start, Resized{Slots: 9})
 	// Six new programs a second begin: three of nine places are kept for turns.
 	for id := range ID(6) {
 		if started, _ := ids(l.Handle(start, newProgram(id, 400*time.Millisecond))); len(started) != 1 {
@@ -130,9 +130,9 @@
 // before it can be answered, on arrival if that is known then.
 func TestNobodyIsHeldWhoWillNotBeServed(t *testing.T) {
 	var l Limiter
-	l.Handle(start, Resized{Places: 2})
+	l.Handle(start, Resized{Slots: 2})
 	turn := func(id ID, wait time.Duration) Arrived {
-		return Arrived{ID: id, Underway: true, Timed: true, Left: time.Minute, Wait: wait}
+		return Arrived{ID: id, InProgress: true, HasDeadline: true, Remaining: time.Minute, ClientTimeout: wait}
 	}
 	l.Handle(start, turn(1, time.Second))
 	l.Handle(start, turn(2, time.Second))
@@ -147,7 +147,7 @@
 		t.Error("a turn was rejected that has time")
 	}
 	now = now.Add(601 * time.Millisecond)
-	if _, rejected := ids(l.Handle(now, Resized{Places: 2})); rejected == nil || rejected.ID != 5 {
+	if _, rejected := ids(l.Handle(now, Resized{Slots: 2})); rejected == nil || rejected.ID != 5 {
 		t.Errorf("%+v, want that the turn is given up in time", rejected)
 	}
 }
@@ -156,8 +156,8 @@
 	var l Limiter
 	l.Handle(start, laterTurn(1, time.Second))
 	l.Handle(start, laterTurn(2, time.Second))
-	l.Handle(start, Withdrawn{ID: 1})
-	started, _ := ids(l.Handle(start, Resized{Places: 4}))
+	l.Handle(start, Cancelled{ID: 1})
+	started, _ := ids(l.Handle(start, Resized{Slots: 4}))
 	if len(started) != 1 || started[0] != 2 {
 		t.Errorf("started %v", started)
 	}
@@ -198,27 +198,27 @@
 		switch r.IntN(8) {
 		case 0:
 			s.places = r.IntN(12)
-			s.step(Resized{Places: s.places})
+			s.step(Resized{Slots: s.places})
 		case 1, 2, 3:
 			s.finish(r)
 		case 4:
 			for id := range s.waiting {
 				delete(s.waiting, id)
-				s.step(Withdrawn{ID: id})
+				s.step(Cancelled{ID: id})
 				break
 			}
 		default:
 			a := Arrived{
-				ID: id, Underway: r.IntN(2) == 0, Timed: r.IntN(4) > 0, Left: time.Duration(r.IntN(2000)-200) * time.Millisecond,
-				Patience: time.Duration(r.IntN(500)) * time.Millisecond, Priority: uint32(r.IntN(3)),
-				Wait: time.Duration(r.IntN(2)*r.IntN(900)) * time.Millisecond,
+				ID: id, InProgress: r.IntN(2) == 0, HasDeadline: r.IntN(4) > 0, Remaining: time.Duration(r.IntN(2000)-200) * time.Millisecond,
+				MaxWait: time.Duration(r.IntN(500)) * time.Millisecond, Priority: uint32(r.IntN(3)),
+				ClientTimeout: time.Duration(r.IntN(2)*r.IntN(900)) * time.Millisecond,
 			}
 			s.waiting[id] = a
 			s.step(a)
 		}
 	}
 	s.places = 4
-	s.step(Resized{Places: 4})
+	s.step(Resized{Slots: 4})
 	for range 400 {
 		s.finish(r)
 	}
@@ -253,10 +253,10 @@
 			}
 		case Reject:
 			w := s.waiting[a.ID]
-			if groupOf(w) == underway && w.Wait == 0 {
+			if groupOf(w) == underway && w.ClientTimeout == 0 {
 				s.t.Error("a turn was rejected whose client waits")
 			}
-			if room && s.l.room(groupOf(w)) && len(s.waiting) == 1 && w.Wait == 0 {
+			if room && s.l.room(groupOf(w)) && len(s.waiting) == 1 && w.ClientTimeout == 0 {
 				s.t.Error("rejected while there was room and nobody waited")
 			}
 			delete(s.waiting, a.ID)
--- a/rockbench/emulator/entry.go
+++ b/rockbench/emulator/entry.go
@@ -51,10 +51,10 @@
 	e.waiting[a.id] = a
 	now := e.world.clock.time()
 	places := e.fleet.Slots(now, placement.Class{Service: service}, len(e.world.entries))
-	e.handle(limiter.Resized{Places: places})
+	e.handle(limiter.Resized{Slots: places})
 	e.handle(limiter.Arrived{
-		ID: a.id, Underway: t.line.last.ID != "", Left: t.program.due - e.world.clock.now, Timed: true,
-		Patience: ms(t.program.kind.ObjectiveMS), Wait: clientPatience, Priority: t.program.kind.Priority,
+		ID: a.id, InProgress: t.line.last.ID != "", Remaining: t.program.due - e.world.clock.now, HasDeadline: true,
+		MaxWait: ms(t.program.kind.ObjectiveMS), ClientTimeout: clientPatience, Priority: t.program.kind.Priority,
 	})
 }
 
@@ -134,7 +134,7 @@
 		a.done(placement.Result{OK: true, Refused: true})
 	default:
 		delete(a.entry.waiting, a.id)
-		a.entry.handle(limiter.Withdrawn{ID: a.id})
+		a.entry.handle(limiter.Cancelled{ID: a.id})
 	}
 	a.over = true
 	a.turn.failed()
