--- a/rockbarrow/controller/controller.go
+++ b/rockbarrow/controller/controller.go
@@ -23,127 +23,127 @@
 	"rockbarrow.dev/schema/fleetpb"
 )
 
-// keptDocuments is how many documents a control instance keeps to make differences
-// against, of configurations and of lists: some seconds of changes in quick succession.
-// Each is some 250 KB at a thousand routes or three thousand endpoints.
-const keptDocuments = 8
+// documentCacheSize is the number of configuration documents, and of endpoint lists, kept as bases
+// for deltas. It covers a few seconds of rapid changes.
+const documentCacheSize = 8
 
-// List reads the list of endpoints, wherever it is kept.
+// EndpointSource reads the list of endpoints from the platform.
 type EndpointSource interface {
-	// Endpoints returns the whole list, which has no number yet, and how many calls that took.
+	// Endpoints returns the whole list, still without a number, and the number of calls used to
+	// read it.
 	Endpoints(ctx context.Context) (*fleetpb.EndpointList, error)
 }
 
-// UnavailableError says that no majority of the voters answered in time. What
-// was proposed may come to be in force or not.
+// UnavailableError is returned if no majority of the voters answered in time. The outcome of the
+// proposal is unknown: it may still be chosen.
 type UnavailableError struct{ Cause error }
 
-// Error describes the failure.
 func (e *UnavailableError) Error() string {
 	return "controller: no majority of the voters: " + e.Cause.Error()
 }
 
-// Unwrap returns the cause.
 func (e *UnavailableError) Unwrap() error { return e.Cause }
 
-// Controller is one control instance. Set the exported fields before Open.
+// Controller is one control instance. Exported fields must be set before Open.
 type Controller struct {
 	fleetpb.UnimplementedControlServer
 
 	Self *fleetpb.Member
-	// Seeds are the addresses of the first control instances, this one perhaps
-	// included.
+	// Seeds are the addresses of the initial control instances, possibly including this one.
 	Seeds []string
-	// FirstSeeds are the Seeds of the disk's first start, where the first value is voted on. None are
-	// the Seeds of today.
+	// InitialSeeds are the seeds recorded at the first start of this disk; the initial state is
+	// voted on at these addresses. Defaults to Seeds.
 	InitialSeeds []string
-	// Founder is true if the disk's first start was the very first one of the deployment.
+	// Founder reports whether this disk was first started at the first start of the deployment.
 	Founder bool
-	// Losses is how many instances with disks may be lost at once.
+	// FaultTolerance is the number of instances with disks that may be lost at the same time.
 	FaultTolerance int
-	// Domains are the failure domains of the deployment, which operators may evacuate.
+	// FailureDomains are the failure domains of the deployment, any of which may be evacuated.
 	FailureDomains []string
-	// DataDir holds the votes.
+	// DataDir is the directory in which votes are stored.
 	DataDir        string
 	Pool           *dial.Pool
 	EndpointSource EndpointSource
-	// ListCallsPerSecond is how many calls of all instances the list takes, zero if that is not bounded. ListAge is how
-	// old what is known of the list may get, zero for no bound.
+	// MaxListCallsPerSecond limits the calls to the endpoint source by all instances together; zero
+	// means unlimited. MaxListAge is the maximum allowed age of the known list; zero means
+	// unlimited.
 	MaxListCallsPerSecond float64
 	MaxListAge            time.Duration
-	// Reports asks endpoints for their starts. Without it they go by their ids alone.
+	// StartTimes queries endpoints for their start times. If nil, endpoints are identified by their
+	// ids only.
 	StartTimes StartTimeReader
-	// Decode reads a configuration. Without it no tables are made here, and documents
-	// are told to everyone.
+	// Decode parses a configuration document. If nil, this instance builds no routing tables and
+	// sends documents to every instance.
 	Decode func(document []byte) (*fleetpb.Document, error)
 	Log    *logrus.Entry
-	// QuotaTerms are the terms of customers' quotas.
+	// QuotaTerms configure the enforcement of customer quotas.
 	QuotaTerms quota.Terms
 
 	watch *watch.Client
-	// process names this process to entry instances, which tell a new one of what went before.
-	process uint64
-	quotas  quota.Counter
-	// disk holds the votes.
-	disk     *votes
-	presence presence
-	loads    loads
-	lives    lives
-	// listing makes one list at a time.
-	listing sync.Mutex
-	tables  tables
-	counted atomic.Pointer[headcount]
-	// lists makes the changes of lists that others need.
-	lists catalog.History
-	// listed is the newest list that was told to an instance of an earlier version.
-	listed atomic.Pointer[document.List]
-	// made are the numbers of the newest state and list that were made here, and not learned from others.
-	madeState, madeList atomic.Uint64
-	// reach is which control instances were heard lately.
+	// processID identifies this process to entry instances, so that they detect a restart.
+	processID uint64
+	quotas    quota.Counter
+	// voteStore persists the acceptor's record.
+	voteStore    *voteStore
+	presence     presence
+	loads        loads
+	incarnations incarnationTracker
+	// listMu serializes the numbering and publishing of lists.
+	listMu             sync.Mutex
+	tables             tables
+	memberSummaryCache atomic.Pointer[memberSummary]
+	// listHistory computes the differences between lists that receivers need.
+	listHistory catalog.History
+	// packableList is the newest list sent to an instance of an earlier version.
+	packableList atomic.Pointer[document.List]
+	// originatedState and originatedList are the numbers of the newest state and list that this
+	// instance produced itself rather than learned from others.
+	originatedState, originatedList atomic.Uint64
+	// reach describes the control instances heard recently.
 	reach atomic.Pointer[fleetpb.Reach]
 
-	// voting serializes the acceptor and its disk, which may stall for seconds.
-	voting   sync.Mutex
+	// votingMu serializes the acceptor and its writes to disk, which may stall for seconds.
+	votingMu sync.Mutex
 	acceptor register.Acceptor
-	// saved is the acceptor's record that is on the disk.
-	saved atomic.Pointer[fleetpb.AcceptorRecord]
+	// savedRecord is the acceptor's record as stored on disk.
+	savedRecord atomic.Pointer[fleetpb.AcceptorRecord]
 
 	requests voteRequests
-	// distrusted holds the storages of acceptors whose last value could not be made
-	// whole: they are asked for it whole.
-	distrusted sync.Map
-
-	// proposing lets one round of this instance run at a time.
-	proposing chan struct{}
-	// round is the newest round met.
-	round atomic.Uint64
-
-	// listFloor is the highest number of a list that any instance has told of, and
-	// listTag the low bits of the numbers given here.
-	listFloor atomic.Uint64
-	listTag   uint64
-
-	// news is closed and replaced whenever something newer is known.
-	newsMu sync.Mutex
-	update chan struct{}
+	// needFullState holds the storages of acceptors whose last value could not be unpacked; the
+	// next request asks them for the full value.
+	needFullState sync.Map
+
+	// proposalSlot limits this instance to one round at a time.
+	proposalSlot chan struct{}
+	// highestRound is the highest round number seen.
+	highestRound atomic.Uint64
+
+	// highestListNumber is the highest list number reported by any instance. listTag is the low
+	// bits of the list numbers assigned by this process.
+	highestListNumber atomic.Uint64
+	listTag           uint64
+
+	// updateMu guards update, which is closed and replaced whenever a newer state or list is known.
+	updateMu sync.Mutex
+	update   chan struct{}
 }
 
-// Open reads the disk. The instance votes once it is opened.
+// Open loads the votes from disk. The instance answers vote requests once Open has returned.
 func (c *Controller) Open() error {
 	disk, record, err := openVotes(c.DataDir)
 	if err != nil {
 		return err
 	}
-	c.disk = disk
+	c.voteStore = disk
 	c.tables.init(c)
-	c.lives.controller = c
+	c.incarnations.controller = c
 	c.reach.Store(&fleetpb.Reach{FailureDomains: []string{c.Self.GetFailureDomain()}, AllRelay: true})
 	c.watch = &watch.Client{
 		Self: c.Self, Role: fleetpb.Role_ROLE_CONTROL,
-		Seeds: c.Seeds, Pool: c.Pool, Log: c.Log, Hold: peerHold, Changed: c.publish,
-		Relayed:   c.relayed,
-		Documents: document.Cache{Keep: keptDocuments, Log: c.Log},
-		Lists:     document.Cache{Keep: keptDocuments, Log: c.Log},
+		Seeds: c.Seeds, Pool: c.Pool, Log: c.Log, Hold: peerLongPoll, Changed: c.notifyWatchers,
+		Relayed:   c.relayReports,
+		Documents: document.Cache{Keep: documentCacheSize, Log: c.Log},
+		Lists:     document.Cache{Keep: documentCacheSize, Log: c.Log},
 	}
 	if len(c.InitialSeeds) == 0 {
 		c.InitialSeeds = c.Seeds
@@ -155,32 +155,33 @@
 	if record != nil {
 		c.watch.Documents.Add(record.GetState())
 		c.acceptor.Restore(record)
-		c.saved.Store(record)
-		c.sawRound(record.GetPromised().GetRound())
+		c.savedRecord.Store(record)
+		c.observeRound(record.GetPromised().GetRound())
 	}
-	c.proposing = make(chan struct{}, 1)
+	c.proposalSlot = make(chan struct{}, 1)
 	c.listTag = rand.Uint64N(1 << tagBits)
-	c.process = rand.Uint64()
+	c.processID = rand.Uint64()
 	c.quotas.Terms = c.QuotaTerms
 	c.quotas.Begin(time.Now())
 	c.update = make(chan struct{})
 	return nil
 }
 
-// Run does the instance's duties until ctx ends and no vote is under way any more.
+// Run performs the background work of the instance until ctx is done, then waits for votes in
+// progress.
 func (c *Controller) Run(ctx context.Context) {
 	go c.watch.Run(ctx)
-	go c.runReach(ctx)
-	go c.runLearning(ctx)
+	go c.maintainReach(ctx)
+	go c.learnState(ctx)
 	if c.Decode != nil {
 		go c.tables.loop(ctx)
 	}
 	reader := &reader{controller: c}
 	go reader.loop(ctx)
 	if c.StartTimes != nil {
-		go c.lives.loop(ctx)
+		go c.incarnations.loop(ctx)
 	}
-	d := &duties{controller: c}
+	d := &coordinator{controller: c}
 	d.loop(ctx)
 	c.requests.stop()
 }
@@ -188,32 +189,32 @@
 // State returns the newest state known to be chosen, or nil.
 func (c *Controller) State() *fleetpb.State { return c.watch.State() }
 
-// Watcher returns the client with which this instance watches the others.
+// Watcher returns the client that watches the other control instances.
 func (c *Controller) Watcher() *watch.Client { return c.watch }
 
-// Learned reports whether the instance knows a chosen state.
+// HasState reports whether the instance knows a chosen state.
 func (c *Controller) HasState() bool { return c.State() != nil }
 
-// Endpoints returns the newest list and when it was read.
+// Endpoints returns the newest list of endpoints and the time at which it was read.
 func (c *Controller) Endpoints() *watch.Reading { return c.watch.List() }
 
-// publish wakes the calls that wait for news.
-func (c *Controller) publish() {
+// notifyWatchers wakes pending Watch calls.
+func (c *Controller) notifyWatchers() {
 	c.tables.wake()
-	c.newsMu.Lock()
+	c.updateMu.Lock()
 	close(c.update)
 	c.update = make(chan struct{})
-	c.newsMu.Unlock()
+	c.updateMu.Unlock()
 }
 
-func (c *Controller) updates() <-chan struct{} {
-	c.newsMu.Lock()
-	defer c.newsMu.Unlock()
+func (c *Controller) updateChan() <-chan struct{} {
+	c.updateMu.Lock()
+	defer c.updateMu.Unlock()
 	return c.update
 }
 
-// Put brings a configuration into force, unless one of the same or a higher
-// version is. It returns once a majority keeps the outcome.
+// Put applies a configuration unless the current one has the same or a higher version. It returns
+// once a majority of the voters has stored the outcome.
 func (c *Controller) Put(ctx context.Context, version uint64, doc []byte) error {
 	digest := document.Digest(doc)
 	_, err := c.Change(ctx, func(s *fleetpb.State) *fleetpb.State {
@@ -226,60 +227,60 @@
 	return err
 }
 
-// Read returns the newest state that a majority keeps.
+// Read returns the newest state stored by a majority of the voters.
 func (c *Controller) Read(ctx context.Context) (*fleetpb.State, error) {
 	return c.Change(ctx, nil)
 }
 
-// Change runs rounds until one has chosen a value, which it returns.
+// Change runs rounds until one of them chooses a value, and returns that value.
 func (c *Controller) Change(ctx context.Context, change register.Change) (*fleetpb.State, error) {
 	select {
-	case c.proposing <- struct{}{}:
-		defer func() { <-c.proposing }()
+	case c.proposalSlot <- struct{}{}:
+		defer func() { <-c.proposalSlot }()
 	case <-ctx.Done():
 		return nil, &UnavailableError{Cause: ctx.Err()}
 	}
 	for {
 		s, err := c.runRound(ctx, change)
-		if c.mayRepeat(err) && wait.For(ctx, rand.N(roundPause)) {
+		if c.retryable(err) && wait.For(ctx, rand.N(maxRoundBackoff)) {
 			continue
 		}
 		if err != nil {
 			return nil, &UnavailableError{Cause: err}
 		}
 		if s.GetNumber() == 0 {
-			return nil, &UnavailableError{Cause: errors.New("the voters have no value yet")}
+			return nil, &UnavailableError{Cause: errors.New("the voters hold no state yet")}
 		}
-		raise(&c.madeState, s.GetNumber())
+		storeMax(&c.originatedState, s.GetNumber())
 		c.watch.Offer(s)
 		return s, nil
 	}
 }
 
-// mayRepeat reports whether another round may do better: one under a higher ballot, or
-// one that finds voters which were not there.
-func (c *Controller) mayRepeat(err error) bool {
-	var lost *lostError
-	var unanswered *unansweredError
+// retryable reports whether another round may succeed, under a higher ballot or with voters that
+// did not answer before.
+func (c *Controller) retryable(err error) bool {
+	var lost *preemptedError
+	var unanswered *noQuorumError
 	if errors.As(err, &lost) {
-		c.sawRound(lost.round)
+		c.observeRound(lost.round)
 		return true
 	}
 	return errors.As(err, &unanswered)
 }
 
-// nextBallot returns a ballot that no round has used: its round is above all
-// that this storage has promised, also in earlier lives.
+// nextBallot returns an unused ballot: its round is higher than any round that this storage has
+// promised, including before a restart.
 func (c *Controller) nextBallot() *fleetpb.Ballot {
-	c.sawRound(c.saved.Load().GetPromised().GetRound())
-	return &fleetpb.Ballot{Round: c.round.Add(1), Proposer: c.Self.GetStorage()}
+	c.observeRound(c.savedRecord.Load().GetPromised().GetRound())
+	return &fleetpb.Ballot{Round: c.highestRound.Add(1), Proposer: c.Self.GetStorage()}
 }
 
-// sawRound raises the newest round met.
-func (c *Controller) sawRound(round uint64) { raise(&c.round, round) }
+// observeRound raises highestRound to at least round.
+func (c *Controller) observeRound(round uint64) { storeMax(&c.highestRound, round) }
 
-// raise makes a number at least n.
-func raise(number *atomic.Uint64, n uint64) {
+// storeMax raises number to at least n.
+func storeMax(number *atomic.Uint64, n uint64) {
 	for old := number.Load(); old < n; old = number.Load() {
 		if number.CompareAndSwap(old, n) {
 			return
--- a/rockbarrow/controller/controller_test.go
+++ b/rockbarrow/controller/controller_test.go
@@ -21,38 +21,38 @@
 	"rockbarrow.dev/schema/fleetpb"
 )
 
-// fakeList is a list of endpoints that counts its readings.
-type fakeList struct {
+// fakeEndpointSource is an in-memory list of endpoints.
+type fakeEndpointSource struct {
 	mu   sync.Mutex
 	list []*fleetpb.Endpoint
 }
 
-func (l *fakeList) Endpoints(context.Context) (*fleetpb.EndpointList, error) {
+func (l *fakeEndpointSource) Endpoints(context.Context) (*fleetpb.EndpointList, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return &fleetpb.EndpointList{Endpoints: l.list}, nil
 }
 
-func (l *fakeList) set(list ...*fleetpb.Endpoint) {
+func (l *fakeEndpointSource) set(list ...*fleetpb.Endpoint) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.list = list
 }
 
-// place is one control instance of a test.
-type place struct {
+// testInstance is one control instance of a test.
+type testInstance struct {
 	t          testing.TB
 	controller *Controller
 	member     *fleetpb.Member
 	dir        string
 	seeds      []string
 	founder    bool
-	list       *fakeList
-	reports    *fakeReports
+	list       *fakeEndpointSource
+	startTimes *fakeStartTimes
 	stop       func()
 }
 
-func (p *place) start(l net.Listener) {
+func (p *testInstance) start(l net.Listener) {
 	if l == nil {
 		var err error
 		if l, err = net.Listen("tcp", p.member.GetAddress()); err != nil {
@@ -66,8 +66,8 @@
 		Self: p.member, Seeds: p.seeds, InitialSeeds: p.seeds, Founder: p.founder, FaultTolerance: 1, DataDir: p.dir, Pool: pool, EndpointSource: p.list,
 		Decode: decode, Log: logrus.NewEntry(log),
 	}
-	if p.reports != nil {
-		c.StartTimes = p.reports
+	if p.startTimes != nil {
+		c.StartTimes = p.startTimes
 	}
 	if err := c.Open(); err != nil {
 		p.t.Fatal(err)
@@ -89,18 +89,18 @@
 }
 
 func serve(g *grpc.Server, l net.Listener) {
-	// Serve returns an error once the test stops it.
+	// Serve returns an error when the test stops the server.
 	if err := g.Serve(l); err != nil {
 		return
 	}
 }
 
-// newCore starts three control instances and waits until they have a value.
-func newCore(t testing.TB) []*place {
-	var places []*place
+// startCluster starts three control instances and waits until all of them know a state.
+func startCluster(t testing.TB) []*testInstance {
+	var instances []*testInstance
 	var listeners []net.Listener
 	var seeds []string
-	list := &fakeList{}
+	list := &fakeEndpointSource{}
 	for i := range 3 {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -108,21 +108,21 @@
 		}
 		listeners = append(listeners, l)
 		seeds = append(seeds, l.Addr().String())
-		places = append(places, &place{t: t, dir: t.TempDir(), founder: true, list: list, member: &fleetpb.Member{
+		instances = append(instances, &testInstance{t: t, dir: t.TempDir(), founder: true, list: list, member: &fleetpb.Member{
 			Instance: fmt.Sprint("control-", i), Storage: uint64(i + 1), Address: l.Addr().String(),
 		}})
 	}
-	for i, p := range places {
+	for i, p := range instances {
 		p.seeds = seeds
 		p.start(listeners[i])
 	}
-	for _, p := range places {
-		await(t, func() bool { return p.controller.HasState() })
+	for _, p := range instances {
+		waitFor(t, func() bool { return p.controller.HasState() })
 	}
-	return places
+	return instances
 }
 
-func await(t testing.TB, ok func() bool) {
+func waitFor(t testing.TB, ok func() bool) {
 	t.Helper()
 	for !ok() {
 		if err := t.Context().Err(); err != nil {
@@ -133,19 +133,21 @@
 	}
 }
 
-func put(t testing.TB, p *place, version uint64, document string) {
+func putConfiguration(t testing.TB, p *testInstance, version uint64, document string) {
 	t.Helper()
-	await(t, func() bool { return p.controller.Put(t.Context(), version, []byte(document)) == nil })
+	waitFor(t, func() bool { return p.controller.Put(t.Context(), version, []byte(document)) == nil })
 }
 
-func version(p *place) uint64 { return p.controller.State().GetConfiguration().GetVersion() }
+func configVersion(p *testInstance) uint64 {
+	return p.controller.State().GetConfiguration().GetVersion()
+}
 
 func TestAnAcceptedConfigurationComesIntoForceEverywhere(t *testing.T) {
-	core := newCore(t)
-	put(t, core[1], 7, "seven")
-	put(t, core[2], 5, "five")
-	for _, p := range core {
-		await(t, func() bool { return version(p) == 7 })
+	cluster := startCluster(t)
+	putConfiguration(t, cluster[1], 7, "seven")
+	putConfiguration(t, cluster[2], 5, "five")
+	for _, p := range cluster {
+		waitFor(t, func() bool { return configVersion(p) == 7 })
 		s, err := p.controller.Read(t.Context())
 		if err != nil || string(s.GetConfiguration().GetDocument()) != "seven" {
 			t.Errorf("read %q, %v", s.GetConfiguration().GetDocument(), err)
@@ -154,18 +156,18 @@
 }
 
 func TestTwoOperatorsRaceUnderOneVersion(t *testing.T) {
-	core := newCore(t)
+	cluster := startCluster(t)
 	for round := uint64(1); round <= 5; round++ {
 		var running sync.WaitGroup
-		for _, p := range core {
-			running.Go(func() { put(t, p, round, fmt.Sprint(p.member.GetInstance(), " ", round)) })
+		for _, p := range cluster {
+			running.Go(func() { putConfiguration(t, p, round, fmt.Sprint(p.member.GetInstance(), " ", round)) })
 		}
 		running.Wait()
-		first, err := core[0].controller.Read(t.Context())
+		first, err := cluster[0].controller.Read(t.Context())
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, p := range core[1:] {
+		for _, p := range cluster[1:] {
 			s, err := p.controller.Read(t.Context())
 			if err != nil || string(s.GetConfiguration().GetDocument()) != string(first.GetConfiguration().GetDocument()) {
 				t.Errorf("%q and %q under version %d, %v", first.GetConfiguration().GetDocument(), s.GetConfiguration().GetDocument(), round, err)
@@ -175,83 +177,83 @@
 }
 
 func TestAMinorityAcceptsNothing(t *testing.T) {
-	core := newCore(t)
-	put(t, core[0], 1, "one")
-	core[1].stop()
-	core[2].stop()
+	cluster := startCluster(t)
+	putConfiguration(t, cluster[0], 1, "one")
+	cluster[1].stop()
+	cluster[2].stop()
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
-	if err := core[0].controller.Put(ctx, 2, []byte("two")); err == nil {
-		t.Error("one of three accepted a configuration")
+	if err := cluster[0].controller.Put(ctx, 2, []byte("two")); err == nil {
+		t.Error("a configuration was accepted by one of three voters")
 	}
 	ctx, cancel = context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
-	if _, err := core[0].controller.Read(ctx); err == nil {
-		t.Error("one of three was sure of the newest configuration")
+	if _, err := cluster[0].controller.Read(ctx); err == nil {
+		t.Error("a read succeeded with one of three voters")
 	}
 }
 
-// TestARoundEndsWithItsAnswers: while a majority is down a round must not wait for
-// answers that nobody will give, or it is still waiting when the majority is back.
+// A round must not wait for further replies once every acceptor has answered or failed, or it would
+// still be waiting when a majority is back.
 func TestARoundEndsWithItsAnswers(t *testing.T) {
-	core := newCore(t)
-	put(t, core[0], 1, "one")
-	core[1].stop()
-	core[2].stop()
-	var unanswered *unansweredError
-	for !errors.As(roundError(t, core[0]), &unanswered) {
-		// A vote that was on its way when the others stopped.
+	cluster := startCluster(t)
+	putConfiguration(t, cluster[0], 1, "one")
+	cluster[1].stop()
+	cluster[2].stop()
+	var unanswered *noQuorumError
+	for !errors.As(roundError(t, cluster[0]), &unanswered) {
+		// The others may still have answered a request in flight.
 		continue
 	}
 }
 
-func roundError(t *testing.T, p *place) error {
+func roundError(t *testing.T, p *testInstance) error {
 	t.Helper()
 	_, err := p.controller.runRound(t.Context(), nil)
 	if errors.Is(err, context.DeadlineExceeded) {
-		t.Fatal("the round waited for answers that nobody gives")
+		t.Fatal("the round waited for replies after all acceptors had failed")
 	}
 	return err
 }
 
 func TestAllRestartAndKnowWhatWasAccepted(t *testing.T) {
-	core := newCore(t)
-	put(t, core[0], 3, "three")
-	for _, p := range core {
+	cluster := startCluster(t)
+	putConfiguration(t, cluster[0], 3, "three")
+	for _, p := range cluster {
 		p.stop()
 	}
-	for _, p := range core {
+	for _, p := range cluster {
 		p.start(nil)
 	}
-	for _, p := range core {
-		await(t, func() bool { return version(p) == 3 })
+	for _, p := range cluster {
+		waitFor(t, func() bool { return configVersion(p) == 3 })
 	}
 }
 
 func TestAWipedInstanceGetsItsVoteBack(t *testing.T) {
-	core := newCore(t)
-	put(t, core[0], 1, "one")
-	core[2].stop()
-	put(t, core[0], 2, "two")
-	wiped := &place{t: t, dir: t.TempDir(), seeds: core[2].seeds, list: core[2].list, member: &fleetpb.Member{
-		Instance: "control-2", Storage: 99, Address: core[2].member.GetAddress(),
+	cluster := startCluster(t)
+	putConfiguration(t, cluster[0], 1, "one")
+	cluster[2].stop()
+	putConfiguration(t, cluster[0], 2, "two")
+	wiped := &testInstance{t: t, dir: t.TempDir(), seeds: cluster[2].seeds, list: cluster[2].list, member: &fleetpb.Member{
+		Instance: "control-2", Storage: 99, Address: cluster[2].member.GetAddress(),
 	}}
 	wiped.start(nil)
-	await(t, func() bool {
+	waitFor(t, func() bool {
 		s := wiped.controller.State()
 		return register.ContainsStorage(s.GetVoters(), 99) && len(s.GetPriorVoters()) == 0
 	})
-	// Another is lost right after: the repaired one and the last make a majority.
-	core[0].stop()
-	put(t, wiped, 3, "three")
-	await(t, func() bool { return version(core[1]) == 3 })
+	// The replaced instance and the remaining one must form a majority.
+	cluster[0].stop()
+	putConfiguration(t, wiped, 3, "three")
+	waitFor(t, func() bool { return configVersion(cluster[1]) == 3 })
 }
 
 func TestTheListReachesAllThatWatch(t *testing.T) {
-	core := newCore(t)
-	core[0].list.set(&fleetpb.Endpoint{Id: "a"}, &fleetpb.Endpoint{Id: "b", Draining: true})
-	for _, p := range core {
-		await(t, func() bool { return len(p.controller.Endpoints().List().GetEndpoints()) == 2 })
+	cluster := startCluster(t)
+	cluster[0].list.set(&fleetpb.Endpoint{Id: "a"}, &fleetpb.Endpoint{Id: "b", Draining: true})
+	for _, p := range cluster {
+		waitFor(t, func() bool { return len(p.controller.Endpoints().List().GetEndpoints()) == 2 })
 	}
 }
 
@@ -265,46 +267,45 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.disk = &votes{value: cell, promise: cell}
+	c.voteStore = &voteStore{value: cell, promise: cell}
 	req := &fleetpb.PrepareRequest{Ballot: &fleetpb.Ballot{Round: 5}, Acceptor: 1}
 	if reply, err := c.Prepare(t.Context(), req); err == nil {
-		t.Errorf("a promise that is not on the disk was given: %v", reply)
+		t.Errorf("a promise was sent without being on disk: %v", reply)
 	}
 	if c.acceptor.Record().GetPromised().GetRound() != 0 {
-		t.Error("a promise that was not given is remembered")
+		t.Error("the acceptor kept a promise that was not saved")
 	}
 	value := &fleetpb.AcceptRequest{Ballot: &fleetpb.Ballot{Round: 5}, Acceptor: 1, State: &fleetpb.State{Number: 1}}
 	if reply, err := c.Accept(t.Context(), value); err == nil {
-		t.Errorf("a value that is not on the disk was accepted: %v", reply)
+		t.Errorf("a value was accepted without being on disk: %v", reply)
 	}
 	if c.acceptor.Record().GetState() != nil {
-		t.Error("a value that was not accepted is remembered")
+		t.Error("the acceptor kept a value that was not saved")
 	}
 }
 
-// TestListsGoOnAfterARestartOfAllControl: an entry instance that lives on holds a list
-// with a high number. Control instances that begin anew must number above it, or the
-// leaving of endpoints would not be noticed.
+// After a restart of all control instances, new lists must be numbered above those that running
+// entry instances hold, or draining endpoints would go unnoticed.
 func TestListsGoOnAfterARestartOfAllControl(t *testing.T) {
-	core := newCore(t)
+	cluster := startCluster(t)
 	const held = 50<<tagBits | 7
 	req := &fleetpb.WatchRequest{
 		Sender: &fleetpb.Member{Instance: "entry"}, Role: fleetpb.Role_ROLE_ENTRY, StateNumber: 1 << 40, ListNumber: held, WantsNews: true,
 	}
-	core[0].list.set(&fleetpb.Endpoint{Id: "a", Draining: true})
-	await(t, func() bool {
-		r, err := core[1].controller.Watch(t.Context(), req)
+	cluster[0].list.set(&fleetpb.Endpoint{Id: "a", Draining: true})
+	waitFor(t, func() bool {
+		r, err := cluster[1].controller.Watch(t.Context(), req)
 		return err == nil && r.GetList().GetNumber() > held && len(r.GetList().GetEndpoints()) == 1
 	})
 }
 
-// TestNewsGoOnlyToThoseWhoWantThem: hundreds of instances watch all control instances,
-// and each needs a state or list once. One that asks for no news hears of their numbers.
+// States and lists must only be sent to instances that request them; others receive just the
+// numbers.
 func TestNewsGoOnlyToThoseWhoWantThem(t *testing.T) {
-	core := newCore(t)
-	core[0].list.set(&fleetpb.Endpoint{Id: "a"})
-	c := core[0].controller
-	await(t, func() bool { return len(c.Endpoints().List().GetEndpoints()) == 1 })
+	cluster := startCluster(t)
+	cluster[0].list.set(&fleetpb.Endpoint{Id: "a"})
+	c := cluster[0].controller
+	waitFor(t, func() bool { return len(c.Endpoints().List().GetEndpoints()) == 1 })
 	watch := func(role fleetpb.Role, news bool) *fleetpb.WatchReply {
 		t.Helper()
 		r, err := c.Watch(t.Context(), &fleetpb.WatchRequest{Sender: &fleetpb.Member{Instance: "x"}, Role: role, WantsNews: news})
@@ -317,12 +318,12 @@
 		return r
 	}
 	if r := watch(fleetpb.Role_ROLE_ENTRY, false); r.GetState() != nil || r.GetList() != nil {
-		t.Error("state or list went to an instance that did not ask for news")
+		t.Error("state or list sent to an instance that did not request it")
 	}
 	if r := watch(fleetpb.Role_ROLE_ENTRY, true); r.GetState() == nil || r.GetList() == nil {
-		t.Error("state or list did not come")
+		t.Error("state or list missing")
 	}
 	if r := watch(fleetpb.Role_ROLE_STORE, true); r.GetState() == nil || r.GetList() != nil {
-		t.Error("a store gets the state, and no list of endpoints")
+		t.Error("a store must receive the state and no list of endpoints")
 	}
 }
--- a/rockbarrow/controller/customers.go
+++ b/rockbarrow/controller/customers.go
@@ -12,24 +12,26 @@
 	"rockbarrow.dev/schema/fleetpb"
 )
 
-// confirmed tells up to when the newest configuration is known, or nil if the voters have not confirmed it.
-func (c *Controller) confirmed() *fleetpb.Confirmed {
+// confirmation returns the current configuration version and the age of its last confirmation by a
+// majority, or nil if it was never confirmed.
+func (c *Controller) confirmation() *fleetpb.Confirmed {
 	s := c.State()
 	if s.GetConfiguration() == nil {
 		return nil
 	}
-	// The clock is read first: this process may stand still before it looks at its own vote.
+	// Read the clock before the own vote, so that a pause in between cannot make the confirmation
+	// look newer.
 	asked := time.Now()
-	at, ok := c.watch.Confirm(s, c.saved.Load().GetState().GetNumber(), asked)
+	at, ok := c.watch.Confirm(s, c.savedRecord.Load().GetState().GetNumber(), asked)
 	if !ok {
 		return nil
 	}
-	// A microsecond more than was rounded off.
+	// Round up, so that the age is never understated.
 	return &fleetpb.Confirmed{Version: s.GetConfiguration().GetVersion(), AgeUs: uint64(max(0, time.Since(at).Microseconds())) + 1}
 }
 
-// customerCounts tells entry instances how many requests of each customer were let in lately, or nil while that is
-// not known.
+// customerCounts returns the number of requests recently admitted per customer, or nil while no
+// customers are known.
 func (c *Controller) customerCounts(now time.Time) *fleetpb.CustomerCounts {
 	t := c.tables.table()
 	if t.Customers() == 0 {
@@ -38,11 +40,11 @@
 	return &fleetpb.CustomerCounts{Counts: c.quotas.Counts(now, t.CustomerNamed)}
 }
 
-// Admit counts requests of a customer against its quota.
+// Admit counts a customer's requests against its quota.
 func (c *Controller) Admit(_ context.Context, req *fleetpb.AdmitRequest) (*fleetpb.AdmitReply, error) {
 	customer := c.tables.table().CustomerNamed(req.GetCustomer())
 	if customer == nil {
-		// It is not known here yet, or not any more.
+		// The customer is not known yet, or was removed.
 		return &fleetpb.AdmitReply{Unsure: true}, nil
 	}
 	switch d := c.quotas.Admit(time.Now(), customer, req.GetRequests(), req.GetNewProgram()).(type) {
@@ -55,19 +57,19 @@
 }
 
 const (
-	// mostTold is how many customers, and keys of each, operators are told of.
-	mostTold = 1000
-	// shownBytes of a key's digest tell it from others.
-	shownBytes = 6
+	// maxReportedCustomers limits the customers, and the keys per customer, in a report.
+	maxReportedCustomers = 1000
+	// keyDigestPrefix is the number of bytes of a key's digest shown to operators.
+	keyDigestPrefix = 6
 )
 
-// Customers tells operators of customers.
+// Customers reports the quota usage of customers to operators.
 func (c *Controller) Customers(context.Context, *fleetpb.CustomersRequest) (*fleetpb.CustomersReply, error) {
 	now, t := time.Now(), c.tables.table()
 	out := &fleetpb.CustomersReply{Version: t.Version()}
 	t.EachCustomer(func(h routing.Held) bool {
-		if len(out.Customers) == mostTold {
-			out.LeftOut = uint32(t.Customers() - mostTold)
+		if len(out.Customers) == maxReportedCustomers {
+			out.LeftOut = uint32(t.Customers() - maxReportedCustomers)
 			return false
 		}
 		u := c.quotas.Usage(now, h.Customer)
@@ -75,8 +77,8 @@
 			Name: h.GetName(), Priority: h.GetPriority(), RequestsPerSecond: h.GetRequestsPerSecond(), Burst: h.GetBurst(),
 			Requests: u.Requests, Limit: u.Limit, Refused: u.Refused,
 		}
-		for _, k := range h.Digests[:min(len(h.Digests), mostTold)] {
-			s.KeyDigests = append(s.KeyDigests, hex.EncodeToString(k[:shownBytes]))
+		for _, k := range h.Digests[:min(len(h.Digests), maxReportedCustomers)] {
+			s.KeyDigests = append(s.KeyDigests, hex.EncodeToString(k[:keyDigestPrefix]))
 		}
 		out.Customers = append(out.Customers, s)
 		return true
--- a/rockbarrow/controller/customers_test.go
+++ b/rockbarrow/controller/customers_test.go
@@ -14,8 +14,8 @@
 	"rockbarrow.dev/schema/fleetpb"
 )
 
-// confirmedAge returns how old the confirmation is that an instance tells entry instances, and of which version.
-func confirmedAge(t *testing.T, p *place) (version uint64, age time.Duration, ok bool) {
+// confirmationAge returns the confirmed version and its age as reported to an entry instance.
+func confirmationAge(t *testing.T, p *testInstance) (version uint64, age time.Duration, ok bool) {
 	t.Helper()
 	r, err := p.controller.Watch(t.Context(), &fleetpb.WatchRequest{Sender: &fleetpb.Member{Instance: "entry"}, Role: fleetpb.Role_ROLE_ENTRY})
 	if err != nil {
@@ -25,37 +25,36 @@
 	return c.GetVersion(), time.Duration(c.GetAgeUs()) * time.Microsecond, c != nil
 }
 
-// TestOnlyAMajorityConfirms: an instance that hears no majority of the voters any more tells an ever older confirmation, from
-// which leases run out, and a fresh one once it hears them again.
+// Without a majority of voters, the reported confirmation must age so that leases expire; it must
+// become fresh again when the majority is back.
 func TestOnlyAMajorityConfirms(t *testing.T) {
-	places := newCore(t)
-	put(t, places[0], 7, "seven")
+	instances := startCluster(t)
+	putConfiguration(t, instances[0], 7, "seven")
 	fresh := func() bool {
-		v, age, ok := confirmedAge(t, places[2])
-		return ok && v == 7 && age < 2*peerHold
-	}
-	await(t, fresh)
-	places[0].stop()
-	places[1].stop()
-	_, first, _ := confirmedAge(t, places[2])
-	const later = 4 * peerHold
+		v, age, ok := confirmationAge(t, instances[2])
+		return ok && v == 7 && age < 2*peerLongPoll
+	}
+	waitFor(t, fresh)
+	instances[0].stop()
+	instances[1].stop()
+	_, first, _ := confirmationAge(t, instances[2])
+	const later = 4 * peerLongPoll
 	pause := time.NewTimer(later)
 	<-pause.C
-	if _, age, ok := confirmedAge(t, places[2]); !ok || age < first+later-peerHold || age < later {
-		t.Errorf("without a majority: confirmed %v ago (%v before the pause of %v), %v", age, first, later, ok)
+	if _, age, ok := confirmationAge(t, instances[2]); !ok || age < first+later-peerLongPoll || age < later {
+		t.Errorf("without a majority: confirmation age %v (%v before the pause of %v), %v", age, first, later, ok)
 	}
-	places[0].start(nil)
-	await(t, fresh)
+	instances[0].start(nil)
+	waitFor(t, fresh)
 }
 
-// TestTheFirstConfirmationIsNotWaitedFor: an entry instance that waits for it is answered as soon as there is one, and not at
-// the end of the time for which calls are held.
+// A call that waits for the first confirmation must return as soon as there is one.
 func TestTheFirstConfirmationIsNotWaitedFor(t *testing.T) {
-	places := newCore(t)
-	put(t, places[0], 7, "seven")
-	await(t, func() bool { return version(places[2]) == 7 })
+	instances := startCluster(t)
+	putConfiguration(t, instances[0], 7, "seven")
+	waitFor(t, func() bool { return configVersion(instances[2]) == 7 })
 	const hours = 3_600_000
-	r, err := places[2].controller.Watch(t.Context(), &fleetpb.WatchRequest{
+	r, err := instances[2].controller.Watch(t.Context(), &fleetpb.WatchRequest{
 		Sender: &fleetpb.Member{Instance: "entry"}, Role: fleetpb.Role_ROLE_ENTRY, Unconfirmed: true, WaitMs: hours,
 	})
 	if err != nil || r.GetConfirmed().GetVersion() != 7 {
@@ -63,12 +62,13 @@
 	}
 }
 
-// TestRepliesTellWhatLeasesAndQuotasRestOn: the number of the own vote, which process answers and who was let in.
+// Replies must contain the accepted number, a process id that changes with a restart, and the
+// customers' counts.
 func TestRepliesTellWhatLeasesAndQuotasRestOn(t *testing.T) {
-	p := newCore(t)[0]
-	put(t, p, 1, keyedDocument(t, 1))
-	await(t, func() bool { return p.controller.RoutingTable().Customers() == 2 && p.controller.Endpoints() != nil })
-	watch := func(p *place) *fleetpb.WatchReply {
+	p := startCluster(t)[0]
+	putConfiguration(t, p, 1, keyedDocument(t, 1))
+	waitFor(t, func() bool { return p.controller.RoutingTable().Customers() == 2 && p.controller.Endpoints() != nil })
+	watch := func(p *testInstance) *fleetpb.WatchReply {
 		r, err := p.controller.Watch(t.Context(), &fleetpb.WatchRequest{Sender: &fleetpb.Member{Instance: "entry"}, Role: fleetpb.Role_ROLE_ENTRY, WantsLoads: true})
 		if err != nil {
 			t.Fatal(err)
@@ -76,37 +76,37 @@
 		return r
 	}
 	r := watch(p)
-	if r.GetAcceptedNumber() == 0 || r.GetAcceptedNumber() != p.controller.saved.Load().GetState().GetNumber() {
-		t.Errorf("the own vote is told as %d", r.GetAcceptedNumber())
+	if r.GetAcceptedNumber() == 0 || r.GetAcceptedNumber() != p.controller.savedRecord.Load().GetState().GetNumber() {
+		t.Errorf("accepted number %d, want that of the own vote", r.GetAcceptedNumber())
 	}
 	if r.GetCustomers() == nil {
-		t.Error("who was let in is not told")
+		t.Error("the customers' counts are missing")
 	}
 	process := r.GetProcess()
 	if process == 0 || watch(p).GetProcess() != process {
-		t.Error("the process has no name that stays")
+		t.Error("the process id is missing or not stable")
 	}
 	p.stop()
 	p.start(nil)
 	if watch(p).GetProcess() == process {
-		t.Error("another process has the same name")
+		t.Error("the process id did not change with a restart")
 	}
 }
 
-// TestInstancesThatAreNotHeardKeepTheirShares: of four entry instances one is not heard any more. It may be cut off and let
-// a quarter of each quota in.
+// The share of a silent entry instance must be withheld from each quota, since it may still admit
+// requests.
 func TestInstancesThatAreNotHeardKeepTheirShares(t *testing.T) {
-	p := newCore(t)[0]
+	p := startCluster(t)[0]
 	p.controller.quotas.Terms = quota.Terms{Window: 1024 * time.Second}
 	p.controller.quotas.Begin(time.Now().Add(-time.Hour))
-	put(t, p, 1, keyedDocument(t, 1))
-	await(t, func() bool { return p.controller.RoutingTable().Customers() == 2 })
+	putConfiguration(t, p, 1, keyedDocument(t, 1))
+	waitFor(t, func() bool { return p.controller.RoutingTable().Customers() == 2 })
 	now := time.Now()
 	for i, heard := range []time.Time{now, now, now, now.Add(-5 * time.Second)} {
-		p.controller.presence.receive(heard, &fleetpb.WatchRequest{Sender: &fleetpb.Member{Instance: fmt.Sprint("entry-", i), FailureDomain: "a"}, Role: fleetpb.Role_ROLE_ENTRY, Serves: true})
+		p.controller.presence.recordCall(heard, &fleetpb.WatchRequest{Sender: &fleetpb.Member{Instance: fmt.Sprint("entry-", i), FailureDomain: "a"}, Role: fleetpb.Role_ROLE_ENTRY, Serves: true})
 	}
-	p.controller.counted.Store(nil)
-	p.controller.headcount(now)
+	p.controller.memberSummaryCache.Store(nil)
+	p.controller.memberSummary(now)
 	granted := 0
 	for range 20 {
 		r, err := p.controller.Admit(t.Context(), &fleetpb.AdmitRequest{Customer: "a", Requests: 1})
@@ -118,11 +118,12 @@
 		}
 	}
 	if granted != 7 {
-		t.Errorf("%d of a quota of ten were granted, want three quarters", granted)
+		t.Errorf("%d of a quota of ten were granted, want three quarters rounded down", granted)
 	}
 }
 
-// keyedDocument is a configuration with a customer that may make ten requests within the window.
+// keyedDocument returns a configuration with a customer that may make ten requests within the
+// window.
 func keyedDocument(t *testing.T, version uint64) string {
 	t.Helper()
 	k := routing.KeyOf("secret")
@@ -135,13 +136,13 @@
 	return string(b)
 }
 
-// TestCustomersAreCountedByControl: what entry instances tell, and what was granted, counts; operators see it.
+// Reported and granted requests must count against the quota and be visible to operators.
 func TestCustomersAreCountedByControl(t *testing.T) {
-	p := newCore(t)[0]
+	p := startCluster(t)[0]
 	p.controller.quotas.Terms = quota.Terms{Window: 1024 * time.Second}
 	p.controller.quotas.Begin(time.Now().Add(-time.Hour))
-	put(t, p, 1, keyedDocument(t, 1))
-	await(t, func() bool { return p.controller.RoutingTable().Customers() == 2 })
+	putConfiguration(t, p, 1, keyedDocument(t, 1))
+	waitFor(t, func() bool { return p.controller.RoutingTable().Customers() == 2 })
 	admit := func(customer string) *fleetpb.AdmitReply {
 		r, err := p.controller.Admit(t.Context(), &fleetpb.AdmitRequest{Customer: customer, Requests: 1})
 		if err != nil {
@@ -150,7 +151,7 @@
 		return r
 	}
 	if !admit("nobody").GetUnsure() || !admit("b").GetGranted() || !admit("a").GetGranted() {
-		t.Error("an unknown customer, one without a limit or one below it was not told so")
+		t.Error("wrong reply for an unknown customer, one without a limit or one below its limit")
 	}
 	_, err := p.controller.Watch(t.Context(), &fleetpb.WatchRequest{
 		Sender: &fleetpb.Member{Instance: "entry"}, Role: fleetpb.Role_ROLE_ENTRY,
--- a/rockbarrow/controller/packed_test.go
+++ b/rockbarrow/controller/deltas_test.go
@@ -12,9 +12,9 @@
 	"rockbarrow.dev/schema/fleetpb"
 )
 
-// large is a document in which nothing repeats itself near by: it stands for a thousand
+// largeDocument returns a document with little local repetition, the size of about a thousand
 // routes.
-func large(change string) string {
+func largeDocument(change string) string {
 	var b strings.Builder
 	for i := range 20000 {
 		b.WriteString(string(rune('a'+i*i*i%26)) + string(rune('a'+i*7919%26)) + string(rune('A'+i/26%26)))
@@ -22,15 +22,14 @@
 	return b.String() + change
 }
 
-// TestNewsAndVotesAreDifferences: what a control instance sends for a change of one
-// line does not grow with the document.
+// The size of updates and promises must not depend on the size of the document.
 func TestNewsAndVotesAreDifferences(t *testing.T) {
-	core := newCore(t)
-	put(t, core[0], 1, large("one"))
-	c := core[0].controller
+	cluster := startCluster(t)
+	putConfiguration(t, cluster[0], 1, largeDocument("one"))
+	c := cluster[0].controller
 	before := c.State()
 	held := &fleetpb.Held{Digests: [][]byte{before.GetConfiguration().GetDigest()}}
-	put(t, core[0], 2, large("two"))
+	putConfiguration(t, cluster[0], 2, largeDocument("two"))
 	reply, err := c.Watch(t.Context(), &fleetpb.WatchRequest{
 		Sender: &fleetpb.Member{Instance: "x"}, Role: fleetpb.Role_ROLE_ENTRY, StateNumber: before.GetNumber(), WantsNews: true, Held: held,
 	})
@@ -46,22 +45,25 @@
 			t.Errorf("%s: version %d in %d bytes", name, s.GetConfiguration().GetVersion(), proto.Size(s))
 		}
 	}
-	for _, p := range core {
-		await(t, func() bool { return string(p.controller.State().GetConfiguration().GetDocument()) == large("two") })
+	for _, p := range cluster {
+		waitFor(t, func() bool {
+			return string(p.controller.State().GetConfiguration().GetDocument()) == largeDocument("two")
+		})
 	}
 }
 
-// TestAPeerOfTheVersionBeforeGetsWholeStates: it tells nothing of what it holds.
+// A peer of the previous version does not report what it holds, and must receive full states and
+// lists.
 func TestAPeerOfTheVersionBeforeGetsWholeStates(t *testing.T) {
-	core := newCore(t)
-	put(t, core[0], 1, large("one"))
-	c := core[0].controller
+	cluster := startCluster(t)
+	putConfiguration(t, cluster[0], 1, largeDocument("one"))
+	c := cluster[0].controller
 	reply, err := c.Watch(t.Context(), &fleetpb.WatchRequest{Sender: &fleetpb.Member{Instance: "x"}, Role: fleetpb.Role_ROLE_ENTRY, WantsNews: true})
-	if err != nil || string(reply.GetState().GetConfiguration().GetDocument()) != large("one") {
-		t.Errorf("news are not whole: %v", err)
+	if err != nil || string(reply.GetState().GetConfiguration().GetDocument()) != largeDocument("one") {
+		t.Errorf("the update is not a full state: %v", err)
 	}
-	core[0].list.set(&fleetpb.Endpoint{Id: "a"})
-	await(t, func() bool { return len(c.Endpoints().List().GetEndpoints()) == 1 })
+	cluster[0].list.set(&fleetpb.Endpoint{Id: "a"})
+	waitFor(t, func() bool { return len(c.Endpoints().List().GetEndpoints()) == 1 })
 	for _, held := range []*fleetpb.Held{nil, {}} {
 		reply, err := c.Watch(t.Context(), &fleetpb.WatchRequest{
 			Sender: &fleetpb.Member{Instance: "x"}, Role: fleetpb.Role_ROLE_ENTRY, WantsNews: true, HeldLists: held,
@@ -71,23 +73,22 @@
 		}
 	}
 	promise, err := c.Prepare(t.Context(), &fleetpb.PrepareRequest{Ballot: &fleetpb.Ballot{Round: 1 << 40}, Acceptor: c.Self.GetStorage()})
-	if err != nil || string(promise.GetState().GetConfiguration().GetDocument()) != large("one") {
-		t.Errorf("a promise is not whole: %v", err)
+	if err != nil || string(promise.GetState().GetConfiguration().GetDocument()) != largeDocument("one") {
+		t.Errorf("the promise does not contain the full state: %v", err)
 	}
 }
 
-// TestAValueThatCannotBeMadeWholeIsNotAccepted: nothing of it is stored, and the
-// proposer hears why.
+// A value that cannot be unpacked must be rejected without storing anything.
 func TestAValueThatCannotBeMadeWholeIsNotAccepted(t *testing.T) {
-	core := newCore(t)
-	put(t, core[0], 1, "one")
-	c := core[0].controller
+	cluster := startCluster(t)
+	putConfiguration(t, cluster[0], 1, "one")
+	c := cluster[0].controller
 	before := c.acceptorRecord()
 	two := []byte("two")
 	for name, cfg := range map[string]*fleetpb.Configuration{
-		"left out":           {Version: 2, Digest: document.Digest(two)},
-		"against an unknown": {Version: 2, Digest: document.Digest(two), Base: document.Digest([]byte("zero")), Difference: []byte("x")},
-		"another digest":     {Version: 2, Digest: document.Digest(two), Document: []byte("three")},
+		"no document":  {Version: 2, Digest: document.Digest(two)},
+		"unknown base": {Version: 2, Digest: document.Digest(two), Base: document.Digest([]byte("zero")), Difference: []byte("x")},
+		"wrong digest": {Version: 2, Digest: document.Digest(two), Document: []byte("three")},
 	} {
 		reply, err := c.Accept(t.Context(), &fleetpb.AcceptRequest{
 			Ballot: &fleetpb.Ballot{Round: 1 << 40}, Acceptor: c.Self.GetStorage(), State: &fleetpb.State{Number: 99, Configuration: cfg},
@@ -97,13 +98,13 @@
 		}
 	}
 	if after := c.acceptorRecord(); !proto.Equal(after.GetState(), before.GetState()) {
-		t.Error("something was stored")
+		t.Error("the rejected value changed the record")
 	}
 }
 
-// acceptorRecord returns the votes given.
+// acceptorRecord returns the acceptor's record.
 func (c *Controller) acceptorRecord() *fleetpb.AcceptorRecord {
-	c.voting.Lock()
-	defer c.voting.Unlock()
+	c.votingMu.Lock()
+	defer c.votingMu.Unlock()
 	return c.acceptor.Record()
 }
--- a/rockbarrow/controller/doc.go
+++ b/rockbarrow/controller/doc.go
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: MIT
 
-// Package controller is the job of a control instance.
+// Package controller implements the control instances of a deployment.
 //
-// A [Controller] votes on the register (package register), runs rounds for
-// operators, tells all others what is in force, and with the other control
-// instances shares two duties that need only one at a time: reading the list of
-// endpoints, and moving stores and voters when instances come and go. Who does a
-// duty is agreed by rank and time alone, as doing it twice harms nothing.
+// A [Controller] is an acceptor of the replicated state (package register), proposes changes to
+// that state on behalf of operators and publishes the chosen state to all other instances. Control
+// instances share two tasks that one of them performs at a time: reading the list of endpoints, and
+// moving stores and voters when instances join or leave. The performer is selected by rank and
+// timing without coordination; performing a task twice is harmless.
 package controller
--- a/rockbarrow/controller/evacuations.go
+++ b/rockbarrow/controller/evacuations.go
@@ -11,19 +11,19 @@
 	"rockbarrow.dev/schema/fleetpb"
 )
 
-// UnknownDomainError says that there is no failure domain of a name.
+// UnknownDomainError is returned for a failure domain that does not exist.
 type UnknownDomainError struct{ Name string }
 
-// Error names the failure domain.
 func (e *UnknownDomainError) Error() string {
-	return "controller: there is no failure domain " + e.Name
+	return "controller: unknown failure domain " + e.Name
 }
 
-// Evacuate orders that the endpoints of a failure domain get nothing new. It returns once a majority of the voters keeps
-// the order. Ordering it again changes nothing. A domain that is not known is an [UnknownDomainError].
+// Evacuate stops new work from being sent to the endpoints of a failure domain. It returns once a
+// majority of the voters has stored the evacuation, and is idempotent. It returns an
+// [UnknownDomainError] if the domain does not exist.
 func (c *Controller) Evacuate(ctx context.Context, domain string) error {
-	return c.evacuate(ctx, domain, func(list []*fleetpb.Evacuation) []*fleetpb.Evacuation {
-		if slices.ContainsFunc(list, isOf(domain)) {
+	return c.updateEvacuations(ctx, domain, func(list []*fleetpb.Evacuation) []*fleetpb.Evacuation {
+		if slices.ContainsFunc(list, inFailureDomain(domain)) {
 			return list
 		}
 		list = append(slices.Clone(list), &fleetpb.Evacuation{FailureDomain: domain, BegunMs: uint64(time.Now().UnixMilli())})
@@ -32,19 +32,19 @@
 	})
 }
 
-// EndEvacuation takes an evacuation back, as Evacuate orders it.
+// EndEvacuation ends the evacuation of a failure domain, with the same guarantees as Evacuate.
 func (c *Controller) EndEvacuation(ctx context.Context, domain string) error {
-	return c.evacuate(ctx, domain, func(list []*fleetpb.Evacuation) []*fleetpb.Evacuation {
-		return slices.DeleteFunc(slices.Clone(list), isOf(domain))
+	return c.updateEvacuations(ctx, domain, func(list []*fleetpb.Evacuation) []*fleetpb.Evacuation {
+		return slices.DeleteFunc(slices.Clone(list), inFailureDomain(domain))
 	})
 }
 
-func isOf(domain string) func(*fleetpb.Evacuation) bool {
+func inFailureDomain(domain string) func(*fleetpb.Evacuation) bool {
 	return func(e *fleetpb.Evacuation) bool { return e.GetFailureDomain() == domain }
 }
 
-// evacuate changes the evacuations in force.
-func (c *Controller) evacuate(ctx context.Context, domain string, next func([]*fleetpb.Evacuation) []*fleetpb.Evacuation) error {
+// updateEvacuations applies next to the evacuations in force.
+func (c *Controller) updateEvacuations(ctx context.Context, domain string, next func([]*fleetpb.Evacuation) []*fleetpb.Evacuation) error {
 	if !slices.Contains(c.FailureDomains, domain) {
 		return &UnknownDomainError{Name: domain}
 	}
--- a/rockbarrow/controller/evacuations_test.go
+++ b/rockbarrow/controller/evacuations_test.go
@@ -12,8 +12,8 @@
 	"rockbarrow.dev/schema/fleetpb"
 )
 
-// evacuated returns the evacuated failure domains that an instance knows.
-func (p *place) evacuated() string {
+// evacuatedDomains returns the evacuated failure domains known to the instance.
+func (p *testInstance) evacuatedDomains() string {
 	out := ""
 	for _, e := range p.controller.State().GetEvacuations() {
 		out += e.GetFailureDomain()
@@ -21,10 +21,10 @@
 	return out
 }
 
-// TestEvacuationsAreKept by a majority over a loss of power of all, may be ordered again, and reach entry instances.
+// Evacuations must survive a restart of all instances, be idempotent and reach entry instances.
 func TestEvacuationsAreKept(t *testing.T) {
-	core := newCore(t)
-	order := func(p *place, domain string, end bool) error {
+	cluster := startCluster(t)
+	order := func(p *testInstance, domain string, end bool) error {
 		p.controller.FailureDomains = []string{"a", "b"}
 		if end {
 			return p.controller.EndEvacuation(t.Context(), domain)
@@ -38,22 +38,22 @@
 		want     string
 	}{{0, "b", false, "b"}, {1, "a", false, "ab"}, {2, "a", false, "ab"}, {0, "b", true, "a"}, {1, "b", true, "a"}}
 	for _, s := range steps {
-		if err := order(core[s.instance], s.domain, s.end); err != nil {
+		if err := order(cluster[s.instance], s.domain, s.end); err != nil {
 			t.Fatal(err)
 		}
-		if got := core[s.instance].evacuated(); got != s.want {
+		if got := cluster[s.instance].evacuatedDomains(); got != s.want {
 			t.Errorf("%s are evacuated, want %s", got, s.want)
 		}
 	}
-	put(t, core[0], 1, "one")
-	for _, p := range core {
+	putConfiguration(t, cluster[0], 1, "one")
+	for _, p := range cluster {
 		p.stop()
 	}
-	for _, p := range core {
+	for _, p := range cluster {
 		p.start(nil)
 	}
-	await(t, func() bool { return core[2].evacuated() == "a" })
-	reply, err := core[2].controller.Watch(t.Context(), &fleetpb.WatchRequest{
+	waitFor(t, func() bool { return cluster[2].evacuatedDomains() == "a" })
+	reply, err := cluster[2].controller.Watch(t.Context(), &fleetpb.WatchRequest{
 		Sender: &fleetpb.Member{Instance: "entry"}, Role: fleetpb.Role_ROLE_ENTRY, WantsNews: true, WithoutDocument: true,
 	})
 	if err != nil || len(reply.GetState().GetEvacuations()) != 1 || reply.GetState().GetEvacuations()[0].GetBegunMs() == 0 {
@@ -61,19 +61,19 @@
 	}
 }
 
-// TestAnEvacuationThatIsNotKeptIsNotAcknowledged: by a minority, or of a domain that there is not.
+// An evacuation must not be acknowledged without a majority or for an unknown failure domain.
 func TestAnEvacuationThatIsNotKeptIsNotAcknowledged(t *testing.T) {
-	core := newCore(t)
-	core[0].controller.FailureDomains = []string{"a"}
+	cluster := startCluster(t)
+	cluster[0].controller.FailureDomains = []string{"a"}
 	var unknown *UnknownDomainError
-	if err := core[0].controller.Evacuate(t.Context(), "c"); !errors.As(err, &unknown) {
+	if err := cluster[0].controller.Evacuate(t.Context(), "c"); !errors.As(err, &unknown) {
 		t.Errorf("%v", err)
 	}
-	core[1].stop()
-	core[2].stop()
+	cluster[1].stop()
+	cluster[2].stop()
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
-	if err := core[0].controller.Evacuate(ctx, "a"); err == nil || core[0].evacuated() != "" {
-		t.Errorf("one of three acknowledged an evacuation: %v", err)
+	if err := cluster[0].controller.Evacuate(ctx, "a"); err == nil || cluster[0].evacuatedDomains() != "" {
+		t.Errorf("an evacuation was acknowledged by one of three voters: %v", err)
 	}
 }
--- a/rockbarrow/controller/founding_test.go
+++ b/rockbarrow/controller/founding_test.go
@@ -13,23 +13,18 @@
 	"rockbarrow.dev/schema/fleetpb"
 )
 
-// These tests tell an incident: a deployment of four control instances, three of them seeds, did not
-// begin. One seed that was away at the first start, or was killed before its identity was on the disk
-// and so was no founder any more, kept the other three from ever forming it: founding asked for
-// every seed, and only the instance whose name comes first began it. Real processes showed both.
+// formTimeout bounds the wait for a deployment to form.
+const formTimeout = 20 * time.Second
 
-// formWithin bounds the wait for a deployment that should form, which takes half a second.
-const formWithin = 20 * time.Second
-
-// cluster makes control instances, of which the first three are the seeds and founders. None is
-// started.
-func cluster(t testing.TB, n int) ([]*place, []net.Listener) {
+// newCluster prepares control instances without starting them. The first three are the seeds, and
+// all are founders.
+func newCluster(t testing.TB, n int) ([]*testInstance, []net.Listener) {
 	t.Helper()
 	const seeds = 3
-	var places []*place
+	var instances []*testInstance
 	var listeners []net.Listener
 	var addresses []string
-	list := &fakeList{}
+	list := &fakeEndpointSource{}
 	for i := range n {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -40,24 +35,24 @@
 		if i < seeds {
 			addresses = append(addresses, l.Addr().String())
 		}
-		places = append(places, &place{t: t, dir: t.TempDir(), founder: true, list: list, member: &fleetpb.Member{
+		instances = append(instances, &testInstance{t: t, dir: t.TempDir(), founder: true, list: list, member: &fleetpb.Member{
 			Instance: fmt.Sprint("control-", i), Storage: uint64(i + 1), Address: l.Addr().String(),
 		}})
 	}
-	for _, p := range places {
+	for _, p := range instances {
 		p.seeds = addresses
 	}
-	return places, listeners
+	return instances, listeners
 }
 
-func formed(t *testing.T, places ...*place) {
+func waitFormed(t *testing.T, instances ...*testInstance) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(t.Context(), formWithin)
+	ctx, cancel := context.WithTimeout(t.Context(), formTimeout)
 	defer cancel()
-	for _, p := range places {
+	for _, p := range instances {
 		for !p.controller.HasState() {
 			if ctx.Err() != nil {
-				t.Fatalf("%s knows of no deployment", p.member.GetInstance())
+				t.Fatalf("%s does not know a deployment", p.member.GetInstance())
 			}
 			pause := time.NewTimer(time.Millisecond)
 			<-pause.C
@@ -65,45 +60,46 @@
 	}
 }
 
+// A deployment must form even if one seed is missing or is not a founder.
 func TestADeploymentBeginsWithALoss(t *testing.T) {
 	for away := range 3 {
 		for _, founder := range []bool{true, false} {
 			t.Run(fmt.Sprintf("seed %d is away, later founder %v", away, founder), func(t *testing.T) {
 				t.Parallel()
-				places, listeners := cluster(t, 4)
-				var up []*place
-				for i, p := range places {
+				instances, listeners := newCluster(t, 4)
+				var up []*testInstance
+				for i, p := range instances {
 					if i != away {
 						p.start(listeners[i])
 						up = append(up, p)
 					}
 				}
-				formed(t, up...)
-				put(t, up[0], 1, "one")
-				late := places[away]
+				waitFormed(t, up...)
+				putConfiguration(t, up[0], 1, "one")
+				late := instances[away]
 				late.founder = founder
 				late.start(listeners[away])
-				await(t, func() bool { return version(late) == 1 })
+				waitFor(t, func() bool { return configVersion(late) == 1 })
 			})
 		}
 	}
 	for _, without := range [][]int{{0}, {1}, {0, 1}, {0, 1, 2}, {0, 1, 2, 3}} {
 		t.Run(fmt.Sprintf("%v lost their identities", without), func(t *testing.T) {
 			t.Parallel()
-			places, listeners := cluster(t, 4)
+			instances, listeners := newCluster(t, 4)
 			for _, i := range without {
-				places[i].founder = false
+				instances[i].founder = false
 			}
-			for i, p := range places {
+			for i, p := range instances {
 				p.start(listeners[i])
 			}
-			formed(t, places...)
-			put(t, places[3], 1, "one")
-			for _, p := range places {
-				await(t, func() bool { return version(p) == 1 })
+			waitFormed(t, instances...)
+			putConfiguration(t, instances[3], 1, "one")
+			for _, p := range instances {
+				waitFor(t, func() bool { return configVersion(p) == 1 })
 			}
-			await(t, func() bool {
-				s := places[3].controller.State()
+			waitFor(t, func() bool {
+				s := instances[3].controller.State()
 				return register.ContainsStorage(s.GetVoters(), 1) && register.ContainsStorage(s.GetVoters(), 2) && register.ContainsStorage(s.GetVoters(), 3)
 			})
 		})
--- a/rockbarrow/controller/loads.go
+++ b/rockbarrow/controller/loads.go
@@ -14,91 +14,94 @@
 )
 
 const (
-	// loadsWithin is how lately an entry instance must have reported for its calls to
-	// count as under way: four of its reports.
-	loadsWithin = 1500 * time.Millisecond
-	// outcomeHalfLife halves the weight of how calls ended. An endpoint that failed is
-	// tried again after a few of them.
+	// reportTimeout is how long the calls in a report count as running, unless a newer report
+	// replaces it. It spans four reports.
+	reportTimeout = 1500 * time.Millisecond
+	// outcomeHalfLife is the half-life of call outcomes. A failing endpoint is tried again after a
+	// few half-lives.
 	outcomeHalfLife = 2 * time.Second
-	// fewOutcomes keeps a handful of failures from weighing like a rule: it is added
-	// to the number of calls that the failed ones are divided by.
-	fewOutcomes = 3
-	// noticedFailures is the weight of failed calls below which an endpoint's share of them rounds to nothing.
-	noticedFailures = 0.01 * fewOutcomes
-	// forgottenOutcomes is the weight below which an endpoint's outcomes are dropped.
-	forgottenOutcomes = 0.01
+	// failureSmoothing is added to the number of calls when the share of failures is calculated, so
+	// that a few failures alone do not dominate.
+	failureSmoothing = 3
+	// minFailureWeight is the weight of failed calls below which the share of failures rounds to
+	// zero.
+	minFailureWeight = 0.01 * failureSmoothing
+	// minOutcomeWeight is the weight below which an endpoint's outcomes are dropped.
+	minOutcomeWeight = 0.01
 )
 
-// loads is what entry instances have reported of endpoints, here or to another control instance that relays it. The zero
-// value is ready.
+// loads aggregates the reports of entry instances about endpoints, both received directly and
+// relayed by other control instances. The zero value is ready to use.
 type loads struct {
 	mu sync.Mutex
-	// reporters are entry instances, and control instances with the sums of their followers.
+	// reporters maps the names of entry instances, and of control instances with the sums of their
+	// followers, to their last reports.
 	reporters map[string]*report
-	// running sums the calls under way by endpoint; it always equals the sum over
-	// reporters.
+	// running is the number of running calls per endpoint, summed over all reporters.
 	running  map[life.Life]uint32
 	outcomes map[life.Life]*outcomes
 }
 
-// report is one instance's last report.
+// report is the last report of one instance.
 type report struct {
-	heard   time.Time
-	running map[life.Life]uint32
-	// relay is true if the reporter is an entry instance that reports to no other control instance.
-	relay bool
+	received time.Time
+	running  map[life.Life]uint32
+	// relayed is set for an entry instance that reports to no other control instance, so that this
+	// one relays its report.
+	relayed bool
 }
 
-// outcomes counts how calls at one endpoint ended, older ones with less weight.
+// outcomes counts successful and failed calls at one endpoint, with exponential decay.
 type outcomes struct {
 	answered, failed float64
-	at               time.Time
+	updatedAt        time.Time
 }
 
-// receive takes a report of an entry instance. Relay is true if it reports to no other control instance.
-func (l *loads) receive(now time.Time, entry string, uses []*fleetpb.EndpointUse, relay bool) {
+// record records a report of an entry instance. Set relay if the instance reports to no other
+// control instance.
+func (l *loads) record(now time.Time, entry string, uses []*fleetpb.EndpointUse, relay bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.take(now, entry, uses, relay)
-	l.end(now, uses)
+	l.replaceReport(now, entry, uses, relay)
+	l.addOutcomes(now, uses)
 }
 
-// receiveRelayed takes the sums of the followers of another control instance, and those of their calls that ended.
-func (l *loads) receiveRelayed(now time.Time, control string, running, ended []*fleetpb.EndpointUse) {
+// recordRelayed records the running and ended calls of the followers of another control instance.
+func (l *loads) recordRelayed(now time.Time, control string, running, ended []*fleetpb.EndpointUse) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.take(now, control, running, false)
-	l.end(now, ended)
+	l.replaceReport(now, control, running, false)
+	l.addOutcomes(now, ended)
 }
 
-// take replaces an instance's calls under way; the caller holds mu.
-func (l *loads) take(now time.Time, reporter string, uses []*fleetpb.EndpointUse, relay bool) {
+// replaceReport replaces an instance's running calls; the caller holds mu.
+func (l *loads) replaceReport(now time.Time, reporter string, uses []*fleetpb.EndpointUse, relay bool) {
 	if l.reporters == nil {
 		l.reporters, l.running, l.outcomes = map[string]*report{}, map[life.Life]uint32{}, map[life.Life]*outcomes{}
 	}
-	l.drop(reporter)
-	r := &report{heard: now, running: map[life.Life]uint32{}, relay: relay}
+	l.removeReport(reporter)
+	r := &report{received: now, running: map[life.Life]uint32{}, relayed: relay}
 	l.reporters[reporter] = r
 	for _, u := range uses {
 		if n := u.GetRunning(); n > 0 {
-			of := lifeOfUse(u)
+			of := incarnationOfUse(u)
 			r.running[of] += n
 			l.running[of] += n
 		}
 	}
 }
 
-func lifeOfUse(u *fleetpb.EndpointUse) life.Life {
+func incarnationOfUse(u *fleetpb.EndpointUse) life.Life {
 	return life.Life{ID: u.GetEndpoint(), BornMS: u.GetBornMs()}
 }
 
-// direct returns the calls under way of the followers whose reports this instance relays.
-func (l *loads) direct() []*fleetpb.EndpointUse {
+// relayedRunning returns the running calls of the followers whose reports this instance relays.
+func (l *loads) relayedRunning() []*fleetpb.EndpointUse {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	sums := map[life.Life]uint32{}
 	for _, r := range l.reporters {
-		if r.relay {
+		if r.relayed {
 			for of, n := range r.running {
 				sums[of] += n
 			}
@@ -111,8 +114,8 @@
 	return out
 }
 
-// drop takes an instance's calls off the sums.
-func (l *loads) drop(reporter string) {
+// removeReport removes an instance's running calls from the sums; the caller holds mu.
+func (l *loads) removeReport(reporter string) {
 	r := l.reporters[reporter]
 	if r == nil {
 		return
@@ -126,16 +129,16 @@
 	delete(l.reporters, reporter)
 }
 
-// end counts ended calls; the caller holds mu.
-func (l *loads) end(now time.Time, uses []*fleetpb.EndpointUse) {
+// addOutcomes counts ended calls; the caller holds mu.
+func (l *loads) addOutcomes(now time.Time, uses []*fleetpb.EndpointUse) {
 	for _, u := range uses {
 		if u.GetAnswered() == 0 && u.GetFailed() == 0 {
 			continue
 		}
-		of := lifeOfUse(u)
+		of := incarnationOfUse(u)
 		o := l.outcomes[of]
 		if o == nil {
-			o = &outcomes{at: now}
+			o = &outcomes{updatedAt: now}
 			l.outcomes[of] = o
 		}
 		o.decay(now)
@@ -145,58 +148,58 @@
 }
 
 func (o *outcomes) decay(now time.Time) {
-	weight := math.Exp2(-now.Sub(o.at).Seconds() / outcomeHalfLife.Seconds())
+	weight := math.Exp2(-now.Sub(o.updatedAt).Seconds() / outcomeHalfLife.Seconds())
 	o.answered *= weight
 	o.failed *= weight
-	o.at = now
+	o.updatedAt = now
 }
 
-// failing is the share of calls that failed lately, in percent.
-func (o outcomes) failing() uint32 {
-	return uint32(100 * o.failed / (o.answered + o.failed + fewOutcomes))
+// failurePercent returns the weighted share of failed calls in percent.
+func (o outcomes) failurePercent() uint32 {
+	return uint32(100 * o.failed / (o.answered + o.failed + failureSmoothing))
 }
 
-// forget drops instances that report nothing any more and outcomes without weight.
-func (l *loads) forget(now time.Time) {
+// expire drops instances that have stopped reporting and outcomes of negligible weight.
+func (l *loads) expire(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for name, r := range l.reporters {
-		if now.Sub(r.heard) > loadsWithin {
-			l.drop(name)
+		if now.Sub(r.received) > reportTimeout {
+			l.removeReport(name)
 		}
 	}
 	for endpoint, o := range l.outcomes {
 		o.decay(now)
-		if o.answered+o.failed < forgottenOutcomes {
+		if o.answered+o.failed < minOutcomeWeight {
 			delete(l.outcomes, endpoint)
 		}
 	}
 }
 
-// load is what is known of one endpoint of a list.
-type load struct {
-	index   int
-	running uint32
-	ended   outcomes
+// endpointLoad is the load of one endpoint, identified by its index in a list.
+type endpointLoad struct {
+	index    int
+	running  uint32
+	outcomes outcomes
 }
 
-// of returns what an entry instance should know of the endpoints of a list: the calls of the others, and how calls ended.
-// A sparse answer leaves out the endpoints without either.
-func (l *loads) of(now time.Time, entry string, list *catalog.List, sparse bool) *fleetpb.EndpointLoads {
+// forEntry returns the loads of the endpoints in a list for an entry instance, without its own
+// running calls. A sparse result omits endpoints with neither running nor failed calls.
+func (l *loads) forEntry(now time.Time, entry string, list *catalog.List, sparse bool) *fleetpb.EndpointLoads {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	known := l.known(now, entry, list)
+	known := l.collect(now, entry, list)
 	out := &fleetpb.EndpointLoads{ListNumber: list.Number(), Sparse: sparse}
 	if !sparse {
 		n := len(list.List().GetEndpoints())
 		out.Running, out.Failing = make([]uint32, n), make([]uint32, n)
 		for _, k := range known {
-			out.Running[k.index], out.Failing[k.index] = k.running, k.ended.failing()
+			out.Running[k.index], out.Failing[k.index] = k.running, k.outcomes.failurePercent()
 		}
 		return out
 	}
 	for _, k := range known {
-		if failing := k.ended.failing(); k.running > 0 || failing > 0 {
+		if failing := k.outcomes.failurePercent(); k.running > 0 || failing > 0 {
 			out.Index = append(out.Index, uint32(k.index))
 			out.Running = append(out.Running, k.running)
 			out.Failing = append(out.Failing, failing)
@@ -205,41 +208,42 @@
 	return out
 }
 
-// known returns what is known of the endpoints of a list, in their order; the caller holds mu. It costs as much as is
-// under way or fails, whatever the length of the list and however many calls have ended well.
-func (l *loads) known(now time.Time, entry string, list *catalog.List) []load {
+// collect returns the loads of the endpoints in a list in ascending order of index; the caller
+// holds mu. Its cost depends on the number of endpoints with running or failed calls, not on the
+// length of the list.
+func (l *loads) collect(now time.Time, entry string, list *catalog.List) []endpointLoad {
 	var own map[life.Life]uint32
 	if r := l.reporters[entry]; r != nil {
 		own = r.running
 	}
-	out := make([]load, 0, len(l.running))
+	out := make([]endpointLoad, 0, len(l.running))
 	for of, n := range l.running {
-		if i, ok := position(list, of); ok {
-			out = append(out, load{index: i, running: n - own[of]})
+		if i, ok := indexOfIncarnation(list, of); ok {
+			out = append(out, endpointLoad{index: i, running: n - own[of]})
 		}
 	}
 	for of, o := range l.outcomes {
-		if o.failed < noticedFailures {
+		if o.failed < minFailureWeight {
 			continue
 		}
-		if i, ok := position(list, of); ok {
+		if i, ok := indexOfIncarnation(list, of); ok {
 			o.decay(now)
-			out = append(out, load{index: i, ended: *o})
+			out = append(out, endpointLoad{index: i, outcomes: *o})
 		}
 	}
-	slices.SortFunc(out, func(a, b load) int { return a.index - b.index })
-	return joined(out)
+	slices.SortFunc(out, func(a, b endpointLoad) int { return a.index - b.index })
+	return mergeSorted(out)
 }
 
-// joined adds up what is known of the same endpoint, in place.
-func joined(sorted []load) []load {
+// mergeSorted merges entries with the same index in place.
+func mergeSorted(sorted []endpointLoad) []endpointLoad {
 	n := 0
 	for _, k := range sorted {
 		if n > 0 && sorted[n-1].index == k.index {
 			last := &sorted[n-1]
 			last.running += k.running
-			last.ended.answered += k.ended.answered
-			last.ended.failed += k.ended.failed
+			last.outcomes.answered += k.outcomes.answered
+			last.outcomes.failed += k.outcomes.failed
 			continue
 		}
 		sorted[n] = k
@@ -248,9 +252,9 @@
 	return sorted[:n]
 }
 
-// position returns where a list has a life: under its id and start or, while instances do not know the start, under its
-// id alone. What they tell of older lives does not count.
-func position(list *catalog.List, of life.Life) (int, bool) {
+// indexOfIncarnation returns the index of an endpoint in a list. An incarnation with a known start
+// time must match the list; otherwise the id alone decides.
+func indexOfIncarnation(list *catalog.List, of life.Life) (int, bool) {
 	i, ok := list.Index(of.ID)
 	if !ok {
 		return 0, false
--- a/rockbarrow/controller/presence.go
+++ b/rockbarrow/controller/presence.go
@@ -14,46 +14,48 @@
 )
 
 const (
-	// peerHold is how long control instances hold each other's calls, so that
-	// each hears the others several times a second.
-	peerHold = 300 * time.Millisecond
-	// foundersWithin is how lately a founder must have been heard.
-	foundersWithin = 2 * time.Second
-	// servingWithin is how lately an entry instance must have asked to count as
-	// serving: three of its calls.
-	servingWithin = time.Second
-	// knownWithin is how lately one must have asked to count at all. Those that
-	// were taken away count for this long.
-	knownWithin = 15 * time.Second
-	// forgetAfter drops an instance that is gone for good.
-	forgetAfter = time.Minute
+	// peerLongPoll is how long control instances hold each other's Watch calls, so that each hears
+	// from the others several times a second.
+	peerLongPoll = 300 * time.Millisecond
+	// seedTimeout is how recently a seed must have answered to count as reachable.
+	seedTimeout = 2 * time.Second
+	// servingTimeout is how recently an entry instance must have called to count as serving; it
+	// spans three calls.
+	servingTimeout = time.Second
+	// knownTimeout is how recently an entry instance must have called to be counted at all. Removed
+	// instances are counted until then.
+	knownTimeout = 15 * time.Second
+	// expireAfter is how long a silent instance is remembered.
+	expireAfter = time.Minute
 )
 
-// presence is who calls this instance or, as relayed by others, another control instance. The zero value is ready.
+// presence tracks the instances that call this control instance or, as relayed, another one. The
+// zero value is ready to use.
 type presence struct {
-	// fleet holds the entry and store instances, and reports what is relayed of those that call here.
+	// fleet holds the entry and store instances; reports collects what is relayed about those that
+	// call this instance directly.
 	fleet   relay.Fleet
 	reports relay.Reports
 
 	mu sync.Mutex
-	// control holds the control instances, all of which call each other.
-	control map[string]membership.Peer
+	// controlPeers holds the control instances, all of which call each other.
+	controlPeers map[string]membership.Peer
 }
 
-// receive takes a call. It returns the sequence to acknowledge of what the caller relays, and the calls of followers that
-// ended.
-func (r *presence) receive(now time.Time, req *fleetpb.WatchRequest) (acknowledged uint64, ended []*fleetpb.EndpointUse) {
+// recordCall records a Watch call. It returns the sequence number to acknowledge for relayed
+// reports, and the ended calls they contain.
+func (r *presence) recordCall(now time.Time, req *fleetpb.WatchRequest) (acknowledged uint64, ended []*fleetpb.EndpointUse) {
 	if req.GetRole() != fleetpb.Role_ROLE_CONTROL {
 		r.fleet.RecordCall(now, req)
 		r.reports.RecordCall(now, req)
 		return 0, nil
 	}
 	r.mu.Lock()
-	if r.control == nil {
-		r.control = map[string]membership.Peer{}
+	if r.controlPeers == nil {
+		r.controlPeers = map[string]membership.Peer{}
 	}
 	name := req.GetSender().GetInstance()
-	r.control[name] = membership.Peer{Member: req.GetSender(), Heard: now, Copied: req.GetCopiedEpoch()}
+	r.controlPeers[name] = membership.Peer{Member: req.GetSender(), Heard: now, Copied: req.GetCopiedEpoch()}
 	r.mu.Unlock()
 	if req.GetRelayed() == nil {
 		return 0, nil
@@ -61,37 +63,37 @@
 	return r.fleet.ApplyRelayed(now, name, req.GetRelayed())
 }
 
-// refresh counts all as heard now, after this process stood still.
-func (r *presence) refresh(now time.Time) {
+// markAllHeard treats all instances as heard now, after this process was stalled.
+func (r *presence) markAllHeard(now time.Time) {
 	r.fleet.MarkAllHeard(now)
 	r.reports.MarkAllHeard(now)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for name, p := range r.control {
+	for name, p := range r.controlPeers {
 		p.Heard = now
-		r.control[name] = p
+		r.controlPeers[name] = p
 	}
 }
 
-// forget drops instances that were not heard for long.
-func (r *presence) forget(now time.Time) {
+// expire drops instances that have been silent for expireAfter.
+func (r *presence) expire(now time.Time) {
 	r.fleet.Expire(now)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for name, p := range r.control {
-		if now.Sub(p.Heard) > forgetAfter {
-			delete(r.control, name)
+	for name, p := range r.controlPeers {
+		if now.Sub(p.Heard) > expireAfter {
+			delete(r.controlPeers, name)
 		}
 	}
 }
 
-// members returns the instances of a role that were heard within a time, by name.
+// members returns the instances of a role that were heard within the given time, sorted by name.
 func (r *presence) members(now time.Time, role fleetpb.Role, within time.Duration) []membership.Peer {
 	var out []membership.Peer
 	if role == fleetpb.Role_ROLE_CONTROL {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		for _, p := range r.control {
+		for _, p := range r.controlPeers {
 			if now.Sub(p.Heard) < within {
 				out = append(out, p)
 			}
@@ -105,9 +107,8 @@
 	return out
 }
 
-// domains returns the failure domains of which any instance was heard lately, and the
-// own one.
-func (r *presence) domains(now time.Time, own string) map[string]bool {
+// presentDomains returns the failure domains with recently heard instances, including own.
+func (r *presence) presentDomains(now time.Time, own string) map[string]bool {
 	out := map[string]bool{own: true}
 	for _, role := range []fleetpb.Role{fleetpb.Role_ROLE_CONTROL, fleetpb.Role_ROLE_ENTRY, fleetpb.Role_ROLE_STORE} {
 		for _, p := range r.members(now, role, membership.PresentWithin) {
@@ -117,10 +118,10 @@
 	return out
 }
 
-// entryDomains counts the entry instances of each failure domain, by name, and those that are present in all.
+// entryDomains counts the entry instances per failure domain and returns the total number present.
 func (r *presence) entryDomains(now time.Time) (out []*fleetpb.EntryDomain, present uint32) {
 	at := map[string]*fleetpb.EntryDomain{}
-	for _, i := range r.fleet.Instances(now, fleetpb.Role_ROLE_ENTRY, knownWithin) {
+	for _, i := range r.fleet.Instances(now, fleetpb.Role_ROLE_ENTRY, knownTimeout) {
 		name := i.Member.GetFailureDomain()
 		if at[name] == nil {
 			at[name] = &fleetpb.EntryDomain{FailureDomain: name}
@@ -130,7 +131,7 @@
 		if now.Sub(i.LastHeard) < membership.PresentWithin {
 			present++
 		}
-		if now.Sub(i.LastHeard) < servingWithin {
+		if now.Sub(i.LastHeard) < servingTimeout {
 			at[name].Heard++
 			if i.Serves {
 				at[name].Serving++
@@ -140,8 +141,9 @@
 	return out, present
 }
 
-// control returns the control instances that this one knows, itself included.
-func (c *Controller) control(now time.Time, within time.Duration) []*fleetpb.Member {
+// controlMembers returns the control instances heard within the given time, including this one,
+// sorted by name.
+func (c *Controller) controlMembers(now time.Time, within time.Duration) []*fleetpb.Member {
 	out := []*fleetpb.Member{c.Self}
 	for _, p := range c.presence.members(now, fleetpb.Role_ROLE_CONTROL, within) {
 		if p.Member.GetInstance() != c.Self.GetInstance() {
@@ -154,9 +156,9 @@
 	return out
 }
 
-// rank is this instance's place among the control instances heard lately.
+// rank returns this instance's position among the control instances heard recently.
 func (c *Controller) rank(now time.Time) int {
-	for i, m := range c.control(now, leaderWithin) {
+	for i, m := range c.controlMembers(now, leaderTimeout) {
 		if m.GetInstance() == c.Self.GetInstance() {
 			return i
 		}
--- a/rockbarrow/controller/reach.go
+++ b/rockbarrow/controller/reach.go
@@ -15,39 +15,39 @@
 )
 
 const (
-	// reachTick is how often the reach of this instance is looked at.
-	reachTick = 50 * time.Millisecond
-	// reachedWithin is how lately another control instance must have answered to be reached: a call's length and
-	// some round trips.
-	reachedWithin = peerHold + 100*time.Millisecond
+	// reachInterval is the interval between updates of the reach.
+	reachInterval = 50 * time.Millisecond
+	// reachTimeout is how recently another control instance must have answered to be reachable: the
+	// duration of one call and a few round trips.
+	reachTimeout = peerLongPoll + 100*time.Millisecond
 )
 
-// runReach keeps what this instance tells its followers of the control instances that it reaches, which they can't all
-// call themselves.
-func (c *Controller) runReach(ctx context.Context) {
+// maintainReach keeps the reach up to date. Followers rely on it because they do not call every
+// control instance themselves.
+func (c *Controller) maintainReach(ctx context.Context) {
 	for {
-		next := c.findReach()
+		next := c.computeReach()
 		before := c.reach.Load()
 		if !proto.Equal(before, next) {
 			c.reach.Store(next)
 		}
 		if before.GetMajority() != next.GetMajority() {
-			c.publish()
+			c.notifyWatchers()
 		}
-		if !wait.For(ctx, reachTick) {
+		if !wait.For(ctx, reachInterval) {
 			return
 		}
 	}
 }
 
-func (c *Controller) findReach() *fleetpb.Reach {
+func (c *Controller) computeReach() *fleetpb.Reach {
 	out := &fleetpb.Reach{FailureDomains: []string{c.Self.GetFailureDomain()}, AllRelay: c.watch.AllRelay()}
 	voters := c.State().GetVoters()
 	reached := 0
 	if register.ContainsStorage(voters, c.Self.GetStorage()) {
 		reached++
 	}
-	for _, m := range c.watch.Control(reachedWithin) {
+	for _, m := range c.watch.Control(reachTimeout) {
 		if register.ContainsStorage(voters, m.GetStorage()) {
 			reached++
 		}
--- a/rockbarrow/controller/reader.go
+++ b/rockbarrow/controller/reader.go
@@ -14,40 +14,41 @@
 )
 
 const (
-	// readEvery is the least age at which the first in rank reads the list again. Each
-	// call has a price; a leaving endpoint must get nothing new within seconds.
-	readEvery = 800 * time.Millisecond
-	// callsShare is the part of the calls that the list takes which readings may use: the rest is for several
-	// instances that read at once.
-	callsShare = 0.1
-	// ageShare is the part of the list's allowed age that may pass between two readings.
-	ageShare = 1.0 / 3
-	// rankDelay is how much older the list gets before the next in rank reads it
-	// too; the age that others tell is up to peerHold late.
+	// minReadInterval is the shortest interval at which the first in rank reads the list. It
+	// balances the cost of the calls against how soon draining endpoints are noticed.
+	minReadInterval = 800 * time.Millisecond
+	// readCallShare is the share of MaxListCallsPerSecond that regular readings may use. The rest
+	// is left for instances that read at the same time.
+	readCallShare = 0.1
+	// readAgeShare is the share of MaxListAge that may pass between two readings.
+	readAgeShare = 1.0 / 3
+	// rankDelay is the additional age of the list at which the next in rank reads it. It exceeds
+	// the delay with which the age is reported by others.
 	rankDelay = 900 * time.Millisecond
-	// readWithin bounds one reading, which may have many pages.
-	readWithin = 5 * time.Second
-	// firstReadDelay lies between the first readings of the seeds after a start, so that not all of them
-	// read at once what one of them tells the others.
-	firstReadDelay = 200 * time.Millisecond
-	// spareDelays is over how many of these delays the first readings of instances spread that are no seeds.
-	spareDelays = 20
-	// readerTick is how often the age is looked at.
+	// readTimeout bounds one reading, which may consist of many pages.
+	readTimeout = 5 * time.Second
+	// seedReadDelay separates the first readings of the seeds after a start, so that later seeds
+	// can use the list of an earlier one.
+	seedReadDelay = 200 * time.Millisecond
+	// nonSeedReadSpread is the number of such delays over which the first readings of other
+	// instances are spread.
+	nonSeedReadSpread = 20
+	// readerTick is the interval between checks of the list's age.
 	readerTick = 100 * time.Millisecond
 )
 
-// reader reads the list of endpoints while nobody before it in rank does.
+// reader reads the list of endpoints if no instance before it in rank does.
 type reader struct {
 	controller *Controller
 	failing    bool
-	// first is when this instance reads if it has no list by then.
-	first time.Time
-	// behind is since when others are known to have a newer list, zero if none have.
-	behind time.Time
+	// initialReadAt is when this instance reads the list if it has none by then.
+	initialReadAt time.Time
+	// outdatedSince is since when other instances are known to have a newer list, or zero.
+	outdatedSince time.Time
 }
 
 func (r *reader) loop(ctx context.Context) {
-	r.first = time.Now().Add(r.controller.firstRead())
+	r.initialReadAt = time.Now().Add(r.controller.initialReadDelay())
 	for {
 		if r.due(time.Now()) {
 			r.read(ctx)
@@ -58,77 +59,76 @@
 	}
 }
 
-// firstRead returns how long after a start this instance waits for another one's list: the first seed not at all, since
-// after a loss of power everyone waits for it.
-func (c *Controller) firstRead() time.Duration {
+// initialReadDelay returns how long to wait for another instance's list after a start. The first
+// seed does not wait.
+func (c *Controller) initialReadDelay() time.Duration {
 	if len(c.Seeds) == 0 {
 		return 0
 	}
 	if i := slices.Index(c.Seeds, c.Self.GetAddress()); i >= 0 {
-		return time.Duration(i) * firstReadDelay
+		return time.Duration(i) * seedReadDelay
 	}
-	return time.Duration(len(c.Seeds))*firstReadDelay + rand.N(spareDelays*firstReadDelay)
+	return time.Duration(len(c.Seeds))*seedReadDelay + rand.N(nonSeedReadSpread*seedReadDelay)
 }
 
-// readInterval returns the age at which a list is read again that takes so many calls: a long one less often, since the
-// calls that it takes do not grow with it.
+// readInterval returns the interval between readings of a list that takes the given number of calls
+// to read.
 func (c *Controller) readInterval(calls uint32) time.Duration {
 	if c.MaxListCallsPerSecond <= 0 || c.MaxListAge <= 0 {
-		return readEvery
+		return minReadInterval
 	}
-	needed := time.Duration(float64(calls) / (callsShare * c.MaxListCallsPerSecond) * float64(time.Second))
-	return max(readEvery, min(needed, time.Duration(ageShare*float64(c.MaxListAge))))
+	needed := time.Duration(float64(calls) / (readCallShare * c.MaxListCallsPerSecond) * float64(time.Second))
+	return max(minReadInterval, min(needed, time.Duration(readAgeShare*float64(c.MaxListAge))))
 }
 
 func (r *reader) due(now time.Time) bool {
 	l := r.controller.watch.List()
 	if l == nil {
-		return !now.Before(r.first)
+		return !now.Before(r.initialReadAt)
 	}
 	rank := time.Duration(r.controller.rank(now))
-	if l.Version().Number() >= r.controller.listFloor.Load() {
-		r.behind = time.Time{}
+	if l.Version().Number() >= r.controller.highestListNumber.Load() {
+		r.outdatedSince = time.Time{}
 		return now.Sub(l.At()) > r.controller.readInterval(l.List().GetCalls())+rank*rankDelay
 	}
-	if r.behind.IsZero() {
-		r.behind = now
+	if r.outdatedSince.IsZero() {
+		r.outdatedSince = now
 	}
-	return now.Sub(r.behind) >= rank*rankDelay
+	return now.Sub(r.outdatedSince) >= rank*rankDelay
 }
 
 func (r *reader) read(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, readWithin)
+	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	c := r.controller
-	// The list is at least as new as the moment when it was asked for.
+	// The list is at least as new as the start of the request.
 	asked := time.Now()
 	read, err := c.EndpointSource.Endpoints(ctx)
 	if err != nil {
 		if !r.failing {
-			c.Log.WithError(err).Warn("the list of endpoints is not read")
+			c.Log.WithError(err).Warn("failed to read the list of endpoints")
 		}
 		r.failing = true
 		wait.For(ctx, 2*readerTick)
 		return
 	}
 	if r.failing {
-		c.Log.Info("the list of endpoints is read again")
+		c.Log.Info("reading the list of endpoints succeeds again")
 	}
 	r.failing = false
-	c.listing.Lock()
-	defer c.listing.Unlock()
+	c.listMu.Lock()
+	defer c.listMu.Unlock()
 	known := c.watch.List().Version()
-	named := &fleetpb.EndpointList{Endpoints: c.lives.name(time.Now(), known.List(), read.GetEndpoints()), Calls: read.GetCalls()}
+	named := &fleetpb.EndpointList{Endpoints: c.incarnations.annotate(time.Now(), known.List(), read.GetEndpoints()), Calls: read.GetCalls()}
 	c.offerList(c.numberList(known, named), asked)
 }
 
-// numberList numbers a reading: the known number if nothing changed, else one above
-// all that this instance has heard of. Other instances keep their newest list over a
-// restart of all control instances, which begin with no list at all, and would take
-// no list under a lower number. The low bits are drawn by each process, so that no
-// two lists share a number.
+// numberList assigns a number to a reading: the known number if nothing changed, otherwise one
+// above every number seen. After a restart of all control instances, other instances still hold
+// lists and ignore lower numbers. The low bits are random per process, so that no two lists share a
+// number.
 func (c *Controller) numberList(known *catalog.List, read *fleetpb.EndpointList) *catalog.List {
-	floor := c.listFloor.Load()
+	floor := c.highestListNumber.Load()
 	read.Number = (max(known.Number(), floor)>>tagBits+1)<<tagBits | c.listTag
 	l := catalog.New(read).ShareEndpoints(known)
 	if known != nil && known.Number() >= floor && catalog.Equal(known, l) {
@@ -137,16 +137,16 @@
 	return l
 }
 
-// tagBits are the low bits of a list's number that its reader draws.
+// tagBits is the number of random low bits in a list number.
 const tagBits = 16
 
-// sawList raises the newest list number met.
-func (c *Controller) sawList(number uint64) { raise(&c.listFloor, number) }
+// observeListNumber raises highestListNumber to at least number.
+func (c *Controller) observeListNumber(number uint64) { storeMax(&c.highestListNumber, number) }
 
-// offerList makes a list that was read here the newest, unless it holds nothing new.
+// offerList publishes a list produced by this instance unless it is already the newest.
 func (c *Controller) offerList(l *catalog.List, at time.Time) {
 	if l != c.watch.List().Version() {
-		raise(&c.madeList, l.Number())
+		storeMax(&c.originatedList, l.Number())
 	}
 	c.watch.OfferVersion(l, at)
 }
--- a/rockbarrow/controller/requests.go
+++ b/rockbarrow/controller/requests.go
@@ -4,16 +4,16 @@
 
 import "sync"
 
-// voteRequests are the requests to voters under way. They may outlive their round, and the own
-// ones write to the disk, so that a stop waits for them. The zero value is ready.
+// voteRequests tracks the requests to voters in progress. They may outlive their round, and those
+// to this instance write to disk, so shutdown waits for them. The zero value is ready to use.
 type voteRequests struct {
 	mu sync.Mutex
-	// stopped is true once a stop waits: none begins any more.
+	// stopped is set once shutdown has begun; no further requests are started.
 	stopped bool
 	running sync.WaitGroup
 }
 
-// start runs f in the background, unless a stop has come. It reports whether it does.
+// start runs f in the background and reports whether it was started. It is not started after stop.
 func (v *voteRequests) start(f func()) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -24,7 +24,7 @@
 	return true
 }
 
-// stop lets none begin any more and waits for those under way.
+// stop prevents further requests and waits for those in progress.
 func (v *voteRequests) stop() {
 	v.mu.Lock()
 	v.stopped = true
--- a/rockbarrow/controller/rounds.go
+++ b/rockbarrow/controller/rounds.go
@@ -15,46 +15,43 @@
 )
 
 const (
-	// roundPause is the most that a proposer waits after it lost a round, so that
-	// two do not keep losing to each other. A round takes some 10 ms.
-	roundPause = 40 * time.Millisecond
-	// voteWithin bounds one request to an acceptor; a disk's sync takes 1 ms and
-	// a stalled one seconds.
-	voteWithin = 1500 * time.Millisecond
-	// mostAnswers is more than all acceptors give in a round, two each, so that none of
-	// them ever waits for the round: two sets of voters of at most nine, as operators
-	// tolerate four losses at the very most.
-	mostAnswers = 64
-	// roundWithin bounds one round.
-	roundWithin = 2 * time.Second
+	// maxRoundBackoff is the maximum random delay after a preempted round, so that two proposers do
+	// not keep preempting each other.
+	maxRoundBackoff = 40 * time.Millisecond
+	// voteTimeout bounds one request to an acceptor, including its write to disk.
+	voteTimeout = 1500 * time.Millisecond
+	// eventBufferSize exceeds the number of replies in a round (two per acceptor, with at most two
+	// sets of nine voters), so that senders never block.
+	eventBufferSize = 64
+	// roundTimeout bounds one round.
+	roundTimeout = 2 * time.Second
 )
 
-// lostError says that a newer ballot was met.
-type lostError struct{ round uint64 }
+// preemptedError is returned if an acceptor has promised a newer ballot.
+type preemptedError struct{ round uint64 }
 
-func (e *lostError) Error() string { return fmt.Sprintf("round %d was met", e.round) }
+func (e *preemptedError) Error() string { return fmt.Sprintf("preempted by round %d", e.round) }
 
-// unansweredError says that so many voters did not answer that a round found no majority.
-type unansweredError struct{}
+// noQuorumError is returned if too few voters answered for a majority.
+type noQuorumError struct{}
 
-func (e *unansweredError) Error() string { return "too few voters answered" }
+func (e *noQuorumError) Error() string { return "too few voters answered" }
 
-// stoppedError says that this instance stops and asks nobody any more.
+// stoppedError is returned if a round is started during shutdown.
 type stoppedError struct{}
 
-func (e *stoppedError) Error() string { return "this instance stops" }
+func (e *stoppedError) Error() string { return "the instance is stopping" }
 
-// runRound carries the messages of one round. It ends once the round has, or no answer is
-// outstanding any more.
+// runRound runs one round. It ends when the round does, or when no reply is outstanding.
 func (c *Controller) runRound(ctx context.Context, change register.Change) (*fleetpb.State, error) {
-	known, seeds := c.electorate()
-	if known == nil && 2*len(heardOf(seeds)) <= len(seeds) {
-		return nil, errors.New("most seeds were not heard yet")
+	known, seeds := c.knownVoters()
+	if known == nil && 2*len(reachableSeeds(seeds)) <= len(seeds) {
+		return nil, errors.New("most seeds have not answered yet")
 	}
-	ctx, cancel := context.WithTimeout(ctx, roundWithin)
+	ctx, cancel := context.WithTimeout(ctx, roundTimeout)
 	defer cancel()
 	r := &register.Round{Ballot: c.nextBallot(), Known: known, Seeds: seeds, Change: change}
-	events := make(chan register.Event, mostAnswers)
+	events := make(chan register.Event, eventBufferSize)
 	held := map[uint64]*fleetpb.Held{}
 	outstanding := 0
 	actions := r.Handle(register.Begin{})
@@ -62,25 +59,25 @@
 		for _, a := range actions {
 			switch a := a.(type) {
 			case register.Prepare:
-				v := &vote{controller: c, to: a.To, events: events}
-				if !c.requests.start(func() { v.runPrepare(ctx, a.Request) }) {
+				v := &acceptorCall{controller: c, to: a.To, events: events}
+				if !c.requests.start(func() { v.sendPrepare(ctx, a.Request) }) {
 					return nil, &stoppedError{}
 				}
 				outstanding++
 			case register.Accept:
-				v := &vote{controller: c, to: a.To, events: events, held: held[a.To.GetStorage()]}
-				if !c.requests.start(func() { v.runAccept(ctx, a.Request) }) {
+				v := &acceptorCall{controller: c, to: a.To, events: events, held: held[a.To.GetStorage()]}
+				if !c.requests.start(func() { v.sendAccept(ctx, a.Request) }) {
 					return nil, &stoppedError{}
 				}
 				outstanding++
 			case register.Chosen:
 				return a.State, nil
 			case register.Preempted:
-				return nil, &lostError{round: a.By.GetRound()}
+				return nil, &preemptedError{round: a.By.GetRound()}
 			}
 		}
 		if outstanding == 0 {
-			return nil, &unansweredError{}
+			return nil, &noQuorumError{}
 		}
 		select {
 		case e := <-events:
@@ -95,21 +92,22 @@
 	}
 }
 
-// electorate returns a value whose voters to ask, or who answers at the seeds' addresses.
-func (c *Controller) electorate() (known *fleetpb.State, seeds []*fleetpb.Member) {
+// knownVoters returns a state whose voters to ask or, if none is known, the members at the seeds'
+// addresses.
+func (c *Controller) knownVoters() (known *fleetpb.State, seeds []*fleetpb.Member) {
 	if s := c.State(); s != nil {
 		return s, nil
 	}
-	if s := c.saved.Load().GetState(); s != nil {
+	if s := c.savedRecord.Load().GetState(); s != nil {
 		return s, nil
 	}
 	return nil, c.seedMembers()
 }
 
-// seedMembers returns who answers at the address of each seed. One whom nobody has heard lately has
+// seedMembers returns the members at the seeds' addresses. A seed that was not heard recently has
 // no storage.
 func (c *Controller) seedMembers() []*fleetpb.Member {
-	heard := append(c.watch.Control(foundersWithin), c.Self)
+	heard := append(c.watch.Control(seedTimeout), c.Self)
 	var out []*fleetpb.Member
 	for _, address := range c.InitialSeeds {
 		seed := &fleetpb.Member{Address: address}
@@ -123,34 +121,34 @@
 	return out
 }
 
-// heardOf returns those of the seeds that were heard.
-func heardOf(seeds []*fleetpb.Member) []*fleetpb.Member {
+// reachableSeeds returns the seeds with a known storage.
+func reachableSeeds(seeds []*fleetpb.Member) []*fleetpb.Member {
 	return slices.DeleteFunc(slices.Clone(seeds), func(m *fleetpb.Member) bool { return m.GetStorage() == 0 })
 }
 
-// vote carries one acceptor's part of a round.
-type vote struct {
+// acceptorCall sends the requests of a round to one acceptor.
+type acceptorCall struct {
 	controller *Controller
 	to         *fleetpb.Member
-	// events gets the answer, or nil if there is none.
+	// events receives the reply, or nil if there is none.
 	events chan<- register.Event
-	// held is what the acceptor has told that it holds, nil if it has told nothing.
+	// held describes the documents that the acceptor reported holding, or nil.
 	held *fleetpb.Held
 }
 
-func (v *vote) runPrepare(ctx context.Context, req *fleetpb.PrepareRequest) {
-	ctx, cancel := context.WithTimeout(ctx, voteWithin)
+func (v *acceptorCall) sendPrepare(ctx context.Context, req *fleetpb.PrepareRequest) {
+	ctx, cancel := context.WithTimeout(ctx, voteTimeout)
 	defer cancel()
 	reply, err := v.prepare(ctx, req)
 	if err != nil {
-		v.controller.Log.WithError(err).WithField("control", v.to.GetInstance()).Debug("no promise")
+		v.controller.Log.WithError(err).WithField("control", v.to.GetInstance()).Debug("prepare request failed")
 		v.post(nil)
 		return
 	}
 	v.post(register.Prepared{From: v.to.GetStorage(), Reply: reply})
 }
 
-func (v *vote) prepare(ctx context.Context, req *fleetpb.PrepareRequest) (*fleetpb.PrepareReply, error) {
+func (v *acceptorCall) prepare(ctx context.Context, req *fleetpb.PrepareRequest) (*fleetpb.PrepareReply, error) {
 	if v.to.GetStorage() == v.controller.Self.GetStorage() {
 		return v.controller.Prepare(ctx, req)
 	}
@@ -159,7 +157,7 @@
 		return nil, err
 	}
 	docs := &v.controller.watch.Documents
-	if _, whole := v.controller.distrusted.LoadAndDelete(v.to.GetStorage()); !whole {
+	if _, whole := v.controller.needFullState.LoadAndDelete(v.to.GetStorage()); !whole {
 		req.Held = docs.Held()
 	}
 	reply, err := fleetpb.NewControlClient(conn).Prepare(ctx, req)
@@ -167,25 +165,25 @@
 		return nil, err
 	}
 	if reply.State, err = docs.UnpackState(reply.GetState()); err != nil {
-		v.controller.distrusted.Store(v.to.GetStorage(), true)
+		v.controller.needFullState.Store(v.to.GetStorage(), true)
 		return nil, err
 	}
 	return reply, nil
 }
 
-func (v *vote) runAccept(ctx context.Context, req *fleetpb.AcceptRequest) {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), voteWithin)
+func (v *acceptorCall) sendAccept(ctx context.Context, req *fleetpb.AcceptRequest) {
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), voteTimeout)
 	defer cancel()
 	reply, err := v.accept(ctx, req)
 	if err != nil {
-		v.controller.Log.WithError(err).WithField("control", v.to.GetInstance()).Debug("not accepted")
+		v.controller.Log.WithError(err).WithField("control", v.to.GetInstance()).Debug("accept request failed")
 		v.post(nil)
 		return
 	}
 	v.post(register.Accepted{From: v.to.GetStorage(), Reply: reply})
 }
 
-func (v *vote) accept(ctx context.Context, req *fleetpb.AcceptRequest) (*fleetpb.AcceptReply, error) {
+func (v *acceptorCall) accept(ctx context.Context, req *fleetpb.AcceptRequest) (*fleetpb.AcceptReply, error) {
 	if v.to.GetStorage() == v.controller.Self.GetStorage() {
 		return v.controller.Accept(ctx, req)
 	}
@@ -201,22 +199,22 @@
 		reply, err = fleetpb.NewControlClient(conn).Accept(ctx, req)
 	}
 	if err == nil && reply.GetLacksBase() {
-		err = errors.New("controller: the acceptor can't read the value")
+		err = errors.New("controller: the acceptor cannot unpack the value")
 	}
 	return reply, err
 }
 
-// post hands over an event; a round that has ended leaves it in the channel.
-func (v *vote) post(e register.Event) { v.events <- e }
+// post delivers an event. The channel's buffer keeps events of a round that has ended.
+func (v *acceptorCall) post(e register.Event) { v.events <- e }
 
-// Prepare answers a proposer once the promise is on the disk.
+// Prepare handles a proposer's prepare request. It returns once the promise is on disk.
 func (c *Controller) Prepare(_ context.Context, req *fleetpb.PrepareRequest) (*fleetpb.PrepareReply, error) {
-	c.voting.Lock()
-	defer c.voting.Unlock()
+	c.votingMu.Lock()
+	defer c.votingMu.Unlock()
 	before := c.acceptor.Record()
 	reply, changed := c.acceptor.Prepare(req)
 	if changed {
-		if err := c.save(before, c.disk.savePromise); err != nil {
+		if err := c.saveVote(before, c.voteStore.savePromise); err != nil {
 			return nil, err
 		}
 	}
@@ -224,7 +222,7 @@
 	return reply, nil
 }
 
-// Accept answers a proposer once the value is on the disk.
+// Accept handles a proposer's accept request. It returns once the value is on disk.
 func (c *Controller) Accept(_ context.Context, req *fleetpb.AcceptRequest) (*fleetpb.AcceptReply, error) {
 	s, err := c.watch.Documents.UnpackState(req.GetState())
 	if err != nil {
@@ -232,37 +230,37 @@
 		return &fleetpb.AcceptReply{LacksBase: true}, nil
 	}
 	req.State = s
-	c.voting.Lock()
-	defer c.voting.Unlock()
+	c.votingMu.Lock()
+	defer c.votingMu.Unlock()
 	before := c.acceptor.Record()
 	reply, changed := c.acceptor.Accept(req)
 	if changed {
-		if err := c.save(before, c.disk.saveValue); err != nil {
+		if err := c.saveVote(before, c.voteStore.saveValue); err != nil {
 			return nil, err
 		}
 	}
 	return reply, nil
 }
 
-// form saves that there is a deployment.
-func (c *Controller) form() error {
-	c.voting.Lock()
-	defer c.voting.Unlock()
+// markFormed records on disk that a deployment exists.
+func (c *Controller) markFormed() error {
+	c.votingMu.Lock()
+	defer c.votingMu.Unlock()
 	before := c.acceptor.Record()
 	if !c.acceptor.MarkFormed() {
 		return nil
 	}
-	return c.save(before, c.disk.savePromise)
+	return c.saveVote(before, c.voteStore.savePromise)
 }
 
-// save writes what has changed of the record. A record that could not be written is taken
-// back: no reply tells of it, and what was written before it is whole.
-func (c *Controller) save(before *fleetpb.AcceptorRecord, write func(*fleetpb.AcceptorRecord) error) error {
+// saveVote writes the acceptor's record to disk. If the write fails, the acceptor is restored to
+// the previous record, which no reply has superseded.
+func (c *Controller) saveVote(before *fleetpb.AcceptorRecord, write func(*fleetpb.AcceptorRecord) error) error {
 	if err := write(c.acceptor.Record()); err != nil {
 		c.acceptor.Restore(before)
-		c.Log.WithError(err).Error("a vote was not saved")
+		c.Log.WithError(err).Error("failed to save a vote")
 		return errors.Wrap(err, "controller: save a vote")
 	}
-	c.saved.Store(c.acceptor.Record())
+	c.savedRecord.Store(c.acceptor.Record())
 	return nil
 }
--- a/rockbarrow/controller/start_test.go
+++ b/rockbarrow/controller/start_test.go
@@ -14,8 +14,8 @@
 	"rockbarrow.dev/schema/fleetpb"
 )
 
-// opened returns an instance that has read its disk and does no duty.
-func opened(t *testing.T, p *place) *Controller {
+// openController returns a controller that is open but not running.
+func openController(t *testing.T, p *testInstance) *Controller {
 	t.Helper()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -30,27 +30,26 @@
 	return c
 }
 
-// TestWhatWasChosenIsLearnedAtOnce: after a loss of all power everyone waits for the
-// first control instance that knows the state. It asks for it without any tick.
+// After a full power loss, the chosen state must be learned without waiting for a tick.
 func TestWhatWasChosenIsLearnedAtOnce(t *testing.T) {
-	core := newCore(t)
-	put(t, core[0], 4, "four")
-	core[2].stop()
-	c := opened(t, core[2])
+	cluster := startCluster(t)
+	putConfiguration(t, cluster[0], 4, "four")
+	cluster[2].stop()
+	c := openController(t, cluster[2])
 	if c.HasState() {
-		t.Fatal("a value that was accepted counts as chosen before anyone was asked")
+		t.Fatal("an accepted value counts as chosen without a round")
 	}
-	c.runLearning(t.Context())
+	c.learnState(t.Context())
 	if got := c.State().GetConfiguration().GetVersion(); got != 4 {
 		t.Errorf("version %d was learned, want 4", got)
 	}
 }
 
-// TestTheListIsReadAtOnce: the first reading waits for no tick either.
+// The first reading must not wait for a tick.
 func TestTheListIsReadAtOnce(t *testing.T) {
-	list := &fakeList{}
+	list := &fakeEndpointSource{}
 	list.set(&fleetpb.Endpoint{Id: "a"})
-	c := opened(t, &place{member: &fleetpb.Member{Instance: "control", Storage: 1}, dir: t.TempDir(), list: list})
+	c := openController(t, &testInstance{member: &fleetpb.Member{Instance: "control", Storage: 1}, dir: t.TempDir(), list: list})
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	(&reader{controller: c}).loop(ctx)
@@ -59,7 +58,7 @@
 	}
 }
 
-// TestALongListIsReadLessOften: fifty calls for each reading used a fifth of all that the list takes.
+// A list that takes many calls must be read less often.
 func TestALongListIsReadLessOften(t *testing.T) {
 	c := &Controller{MaxListCallsPerSecond: 320, MaxListAge: 5 * time.Second}
 	for _, test := range []struct {
@@ -67,11 +66,11 @@
 		least float64
 	}{{0, 0}, {1, 0}, {25, 0}, {50, 1.5}, {100, 1.5}, {1000, 1.5}} {
 		interval := c.readInterval(test.calls)
-		if interval < readEvery || interval.Seconds() < test.least || interval > c.MaxListAge/3 {
-			t.Errorf("%d calls each %v", test.calls, interval)
+		if interval < minReadInterval || interval.Seconds() < test.least || interval > c.MaxListAge/3 {
+			t.Errorf("%d calls: interval %v", test.calls, interval)
 		}
 	}
-	if got := (&Controller{}).readInterval(50); got != readEvery {
-		t.Errorf("%v where the calls are not bounded", got)
+	if got := (&Controller{}).readInterval(50); got != minReadInterval {
+		t.Errorf("interval %v without a limit of calls", got)
 	}
 }
--- a/rockbarrow/controller/tables.go
+++ b/rockbarrow/controller/tables.go
@@ -20,89 +20,90 @@
 	"rockbarrow.dev/schema/fleetpb"
 )
 
-// keptChanges is how many changes of the table are kept for instances that lag: some ten
-// seconds of changes at three a second. A change of 1,400 routes is some 14 KB.
-const keptChanges = 32
+// maxTableChanges is the number of table changes kept for instances that lag behind, enough for
+// about ten seconds of rapid changes.
+const maxTableChanges = 32
 
-// tables makes the routing table of each configuration that comes to be known, once for
-// all entry instances, and keeps what changed from each to the next.
+// tables builds the routing table of each new configuration on behalf of all entry instances, and
+// keeps the changes between consecutive tables.
 type tables struct {
 	controller *Controller
-	// woken has room for one: a newer state is known.
-	woken chan struct{}
-	// refused is the newest version that made no table. Only the loop uses it.
-	refused uint64
+	// wakeup has a capacity of one and signals that a newer state may be known.
+	wakeup chan struct{}
+	// rejectedVersion is the newest configuration version that could not be built. Only the loop
+	// uses it.
+	rejectedVersion uint64
 
 	mu     sync.Mutex
-	newest *madeTable
-	// changes lead to the newest table; each begins with what the one before ended with.
+	newest *builtTable
+	// changes lead up to the newest table; the base of each is the result of the previous one.
 	changes []tableChange
-	// made is closed and replaced whenever there is a newer table.
-	made chan struct{}
+	// updated is closed and replaced when a newer table is available.
+	updated chan struct{}
 }
 
-// tableChange is a change as it is sent.
+// tableChange is a change in the form in which it is sent.
 type tableChange struct {
 	base  []byte
 	parts []*fleetpb.TablePart
 }
 
-// madeTable is a table with its parts, for who holds nothing that it can be made from.
-type madeTable struct {
+// builtTable is a table with its packed snapshot, for instances that hold no usable base.
+type builtTable struct {
 	*routing.Table
-	once  sync.Once
-	parts []*fleetpb.TablePart
-	err   error
+	packOnce sync.Once
+	parts    []*fleetpb.TablePart
+	err      error
 }
 
 func (t *tables) init(c *Controller) {
-	t.controller, t.woken, t.made = c, make(chan struct{}, 1), make(chan struct{})
+	t.controller, t.wakeup, t.updated = c, make(chan struct{}, 1), make(chan struct{})
 }
 
-// wake tells the loop that a newer state may be known. It never blocks.
+// wake signals the loop that a newer state may be known. It never blocks.
 func (t *tables) wake() {
 	select {
-	case t.woken <- struct{}{}:
+	case t.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// loop makes tables until ctx ends. Nothing else waits for it, so that a large
-// configuration holds up no other news.
+// loop builds tables until ctx is done. It runs separately so that a large configuration delays no
+// other updates.
 func (t *tables) loop(ctx context.Context) {
 	for {
 		select {
-		case <-t.woken:
-			t.take(t.controller.State().GetConfiguration())
+		case <-t.wakeup:
+			t.update(t.controller.State().GetConfiguration())
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// take makes the table of a configuration that is newer than the newest table.
-func (t *tables) take(cfg *fleetpb.Configuration) {
+// update builds the table of a configuration that is newer than the current table.
+func (t *tables) update(cfg *fleetpb.Configuration) {
 	before := t.table()
-	if cfg.GetVersion() <= max(before.Version(), t.refused) {
+	if cfg.GetVersion() <= max(before.Version(), t.rejectedVersion) {
 		return
 	}
 	begun := time.Now()
-	table, change, err := t.next(before, cfg)
+	table, change, err := t.build(before, cfg)
 	var parts []*fleetpb.TablePart
 	if err == nil {
 		parts, err = pack(change)
 	}
 	if err != nil {
-		t.refused = cfg.GetVersion()
-		t.controller.Log.WithError(err).WithField("config_version", cfg.GetVersion()).Error("the configuration is not readable here")
+		t.rejectedVersion = cfg.GetVersion()
+		t.controller.Log.WithError(err).WithField("config_version", cfg.GetVersion()).Error("failed to build the routing table of a configuration")
 		return
 	}
 	t.mu.Lock()
-	t.newest = &madeTable{Table: table}
+	t.newest = &builtTable{Table: table}
 	t.changes = append(t.changes, tableChange{base: change.GetBase(), parts: parts})
-	t.changes = slices.Delete(t.changes, 0, max(0, len(t.changes)-keptChanges))
-	close(t.made)
-	t.made = make(chan struct{})
+	t.changes = slices.Delete(t.changes, 0, max(0, len(t.changes)-maxTableChanges))
+	close(t.updated)
+	t.updated = make(chan struct{})
 	t.mu.Unlock()
 	t.controller.Log.WithFields(logrus.Fields{
 		"config_version": table.Version(), "routes": table.Routes(), "changed": len(change.GetRoutes()) + len(change.GetRemovedRoutes()),
@@ -110,7 +111,7 @@
 	}).Info("the routing table of a configuration is made")
 }
 
-func (t *tables) next(before *routing.Table, cfg *fleetpb.Configuration) (*routing.Table, *fleetpb.TableChange, error) {
+func (t *tables) build(before *routing.Table, cfg *fleetpb.Configuration) (*routing.Table, *fleetpb.TableChange, error) {
 	d, err := t.controller.Decode(cfg.GetDocument())
 	if err != nil {
 		return nil, nil, err
@@ -118,7 +119,7 @@
 	return before.Next(d)
 }
 
-// table returns the newest table, or nil before there is one.
+// table returns the newest table, or nil.
 func (t *tables) table() *routing.Table {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -128,21 +129,22 @@
 	return t.newest.Table
 }
 
-// since returns what makes the newest table of the one with a digest. Until there is a
-// table of a version it returns a channel that is closed at the next one instead.
+// since returns the parts that turn the table with the given digest into the newest one. If no
+// table of the given version exists yet, it returns a channel that is closed when a newer table is
+// available.
 func (t *tables) since(held []byte, version uint64) (parts []*fleetpb.TablePart, wait <-chan struct{}, err error) {
 	t.mu.Lock()
-	newest, made := t.newest, t.made
+	newest, updated := t.newest, t.updated
 	at := slices.IndexFunc(t.changes, func(c tableChange) bool { return bytes.Equal(c.base, held) })
 	changes := slices.Clone(t.changes[max(0, at):])
 	t.mu.Unlock()
 	switch {
 	case newest == nil || newest.Version() < version:
-		return nil, made, nil
+		return nil, updated, nil
 	case bytes.Equal(newest.Digest(), held):
 		return nil, nil, nil
 	case at < 0 || len(held) == 0:
-		parts, err = newest.whole()
+		parts, err = newest.snapshot()
 		return parts, nil, err
 	}
 	for _, c := range changes {
@@ -151,9 +153,9 @@
 	return parts, nil, nil
 }
 
-// whole returns the parts of the whole table.
-func (m *madeTable) whole() ([]*fleetpb.TablePart, error) {
-	m.once.Do(func() {
+// snapshot returns the parts of the whole table.
+func (m *builtTable) snapshot() ([]*fleetpb.TablePart, error) {
+	m.packOnce.Do(func() {
 		change, err := m.Whole()
 		if err != nil {
 			m.err = err
@@ -181,10 +183,10 @@
 	return out, nil
 }
 
-// Table streams what the caller's table lacks.
+// Table streams the parts that the caller needs to update its routing table.
 func (c *Controller) Table(req *fleetpb.TableRequest, stream grpc.ServerStreamingServer[fleetpb.TablePart]) error {
 	if c.Decode == nil {
-		return status.Error(codes.Unimplemented, "controller: no tables are made here")
+		return status.Error(codes.Unimplemented, "controller: this instance builds no routing tables")
 	}
 	for {
 		parts, wait, err := c.tables.since(req.GetHeld(), req.GetVersion())
@@ -192,7 +194,7 @@
 			return err
 		}
 		if wait == nil {
-			return send(stream, parts)
+			return sendParts(stream, parts)
 		}
 		select {
 		case <-wait:
@@ -202,7 +204,7 @@
 	}
 }
 
-func send(stream grpc.ServerStreamingServer[fleetpb.TablePart], parts []*fleetpb.TablePart) error {
+func sendParts(stream grpc.ServerStreamingServer[fleetpb.TablePart], parts []*fleetpb.TablePart) error {
 	for _, p := range parts {
 		if err := stream.Send(p); err != nil {
 			return err
@@ -211,5 +213,5 @@
 	return nil
 }
 
-// RoutingTable returns the newest routing table, or nil before there is one.
+// RoutingTable returns the newest routing table, or nil.
 func (c *Controller) RoutingTable() *routing.Table { return c.tables.table() }
--- a/rockbarrow/controller/tables_test.go
+++ b/rockbarrow/controller/tables_test.go
@@ -19,13 +19,13 @@
 	"rockbarrow.dev/schema/fleetpb"
 )
 
-// decode reads the configurations of these tests, which are encoded messages.
+// decode parses the configuration documents of these tests, which are encoded messages.
 func decode(b []byte) (*fleetpb.Document, error) {
 	d := &fleetpb.Document{}
 	return d, proto.Unmarshal(b, d)
 }
 
-// configuration is one of n routes.
+// configuration returns a document with n routes.
 func configuration(t testing.TB, version uint64, n int) []byte {
 	t.Helper()
 	d := &fleetpb.Document{Version: version, Services: []*fleetpb.Service{{Name: "s"}}}
@@ -42,26 +42,25 @@
 	return b
 }
 
-// newEntryWatch returns a client that watches the core as an entry instance does, once
-// it has heard of a version.
-func newEntryWatch(t *testing.T, core []*place) *watch.Client {
+// newEntryWatch returns a client that watches the cluster as an entry instance does.
+func newEntryWatch(t *testing.T, cluster []*testInstance) *watch.Client {
 	t.Helper()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	pool := &dial.Pool{}
 	t.Cleanup(pool.Close)
 	w := &watch.Client{Self: &fleetpb.Member{Instance: "entry"}, Role: fleetpb.Role_ROLE_ENTRY, Pool: pool, Log: logrus.NewEntry(log)}
-	for _, p := range core {
+	for _, p := range cluster {
 		w.Seeds = append(w.Seeds, p.member.GetAddress())
 	}
 	go w.Run(t.Context())
 	return w
 }
 
-// fetch gets a table of a version, tried again as entry instances do it.
+// fetch fetches a table of a version, with the retries of an entry instance.
 func fetch(t *testing.T, w *watch.Client, held *routing.Table, version uint64) *routing.Table {
 	t.Helper()
-	await(t, func() bool {
+	waitFor(t, func() bool {
 		got, err := w.FetchTable(t.Context(), held, version)
 		held = got
 		return err == nil
@@ -71,36 +70,34 @@
 
 func awaitVersion(t *testing.T, w *watch.Client, version uint64) {
 	t.Helper()
-	await(t, func() bool { return w.State().GetConfiguration().GetVersion() >= version })
+	waitFor(t, func() bool { return w.State().GetConfiguration().GetVersion() >= version })
 }
 
-// streamed counts what Table sends.
-type streamed struct {
+// recordingStream counts what Table sends.
+type recordingStream struct {
 	fleetpb.Control_TableServer
 	ctx   context.Context
 	parts int
 	bytes int
 }
 
-func (s *streamed) Context() context.Context { return s.ctx }
+func (s *recordingStream) Context() context.Context { return s.ctx }
 
-func (s *streamed) Send(p *fleetpb.TablePart) error {
+func (s *recordingStream) Send(p *fleetpb.TablePart) error {
 	s.parts++
 	s.bytes += len(p.GetFrame())
 	return nil
 }
 
-// TestATableTravelsAsWhatChanged: each of some seventy instances took in a whole
-// configuration for each change of one route. When that took longer than the call for
-// news, it never came, and no list of endpoints either.
+// Entry instances must receive table changes rather than whole configurations.
 func TestATableTravelsAsWhatChanged(t *testing.T) {
 	const routes = 3000
-	core := newCore(t)
-	put(t, core[0], 1, string(configuration(t, 1, routes)))
-	w := newEntryWatch(t, core)
+	cluster := startCluster(t)
+	putConfiguration(t, cluster[0], 1, string(configuration(t, 1, routes)))
+	w := newEntryWatch(t, cluster)
 	awaitVersion(t, w, 1)
 	if d := w.State().GetConfiguration().GetDocument(); len(d) > 0 {
-		t.Errorf("an entry instance was told a document of %d bytes", len(d))
+		t.Errorf("an entry instance received a document of %d bytes", len(d))
 	}
 	first := fetch(t, w, nil, 1)
 	if first.Routes() != routes {
@@ -108,109 +105,106 @@
 	}
 	held := first
 	for v := uint64(2); v < 6; v++ {
-		put(t, core[0], v, string(configuration(t, v, routes+int(v))))
+		putConfiguration(t, cluster[0], v, string(configuration(t, v, routes+int(v))))
 		awaitVersion(t, w, v)
 		if held = fetch(t, w, held, v); held.Version() != v || held.Routes() != routes+int(v) {
 			t.Fatalf("version %d with %d routes", held.Version(), held.Routes())
 		}
 	}
-	c := core[0].controller
-	await(t, func() bool { return c.RoutingTable().Version() == 5 })
-	late := &streamed{ctx: t.Context()}
-	if err := c.Table(&fleetpb.TableRequest{Held: first.Digest(), Version: 5}, late); err != nil || late.parts != 4 || late.bytes > 2000 {
-		t.Errorf("four changes of a route came in %d parts of %d bytes, %v", late.parts, late.bytes, err)
+	c := cluster[0].controller
+	waitFor(t, func() bool { return c.RoutingTable().Version() == 5 })
+	lagging := &recordingStream{ctx: t.Context()}
+	if err := c.Table(&fleetpb.TableRequest{Held: first.Digest(), Version: 5}, lagging); err != nil || lagging.parts != 4 || lagging.bytes > 2000 {
+		t.Errorf("four changes of a route took %d parts of %d bytes, %v", lagging.parts, lagging.bytes, err)
 	}
-	same := &streamed{ctx: t.Context()}
+	same := &recordingStream{ctx: t.Context()}
 	if err := c.Table(&fleetpb.TableRequest{Held: held.Digest(), Version: 5}, same); err != nil || same.parts != 0 {
-		t.Errorf("a table that is held came in %d parts, %v", same.parts, err)
+		t.Errorf("a table that is held took %d parts, %v", same.parts, err)
 	}
-	whole := &streamed{ctx: t.Context()}
+	whole := &recordingStream{ctx: t.Context()}
 	if err := c.Table(&fleetpb.TableRequest{Held: []byte("unknown"), Version: 5}, whole); err != nil || whole.parts < 2 {
-		t.Errorf("the whole table came in %d parts, %v", whole.parts, err)
+		t.Errorf("the whole table took %d parts, %v", whole.parts, err)
 	}
 }
 
-// TestATableOutlastsItsKeptChanges: an instance that lags further than changes are kept
-// gets the whole table.
+// An instance that lags behind the kept changes must receive the whole table.
 func TestATableOutlastsItsKeptChanges(t *testing.T) {
-	c := &Controller{Decode: decode, Log: quietLog()}
+	c := &Controller{Decode: decode, Log: discardLog()}
 	c.tables.init(c)
-	for v := uint64(1); v < keptChanges+5; v++ {
-		c.tables.take(&fleetpb.Configuration{Version: v, Document: configuration(t, v, int(v))})
+	for v := uint64(1); v < maxTableChanges+5; v++ {
+		c.tables.update(&fleetpb.Configuration{Version: v, Document: configuration(t, v, int(v))})
 	}
-	if n := len(c.tables.changes); n != keptChanges {
-		t.Errorf("%d changes are kept, want %d", n, keptChanges)
+	if n := len(c.tables.changes); n != maxTableChanges {
+		t.Errorf("%d changes are kept, want %d", n, maxTableChanges)
 	}
 	old, err := routing.New(&fleetpb.Document{Version: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &streamed{ctx: t.Context()}
+	s := &recordingStream{ctx: t.Context()}
 	if err := c.Table(&fleetpb.TableRequest{Held: old.Digest(), Version: 1}, s); err != nil || s.parts != 1 {
 		t.Errorf("%d parts, %v", s.parts, err)
 	}
-	newest, err := routing.New(mustDecode(t, configuration(t, keptChanges+4, keptChanges+4)))
+	newest, err := routing.New(mustDecode(t, configuration(t, maxTableChanges+4, maxTableChanges+4)))
 	if err != nil || !bytes.Equal(newest.Digest(), c.RoutingTable().Digest()) {
-		t.Errorf("another table is kept, %v", err)
+		t.Errorf("the table differs from the newest configuration, %v", err)
 	}
 }
 
-// TestATableIsWaitedFor: a control instance that has not made the version asked for
-// answers when it has, and never with an older one.
+// A request for a future version must wait and never return an older one.
 func TestATableIsWaitedFor(t *testing.T) {
-	c := &Controller{Decode: decode, Log: quietLog()}
+	c := &Controller{Decode: decode, Log: discardLog()}
 	c.tables.init(c)
-	c.tables.take(&fleetpb.Configuration{Version: 1, Document: configuration(t, 1, 1)})
-	s := &streamed{ctx: t.Context()}
+	c.tables.update(&fleetpb.Configuration{Version: 1, Document: configuration(t, 1, 1)})
+	s := &recordingStream{ctx: t.Context()}
 	done := make(chan error, 1)
 	go func() { done <- c.Table(&fleetpb.TableRequest{Version: 2}, s) }()
-	c.tables.take(&fleetpb.Configuration{Version: 2, Document: configuration(t, 2, 2)})
+	c.tables.update(&fleetpb.Configuration{Version: 2, Document: configuration(t, 2, 2)})
 	if err := <-done; err != nil || s.parts != 1 {
 		t.Errorf("%d parts, %v", s.parts, err)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	if err := c.Table(&fleetpb.TableRequest{Version: 3}, &streamed{ctx: ctx}); err == nil {
-		t.Error("a version that is not there was told")
+	if err := c.Table(&fleetpb.TableRequest{Version: 3}, &recordingStream{ctx: ctx}); err == nil {
+		t.Error("a request for an unknown version succeeded")
 	}
 }
 
-// TestAConfigurationThatIsNotReadableChangesNothing: it is tried once and the table
-// before stays.
+// A configuration that cannot be decoded must be tried only once and leave the current table in
+// place.
 func TestAConfigurationThatIsNotReadableChangesNothing(t *testing.T) {
-	c := &Controller{Log: quietLog()}
+	c := &Controller{Log: discardLog()}
 	tries := 0
 	c.Decode = func(b []byte) (*fleetpb.Document, error) {
 		tries++
 		return decode(b)
 	}
 	c.tables.init(c)
-	c.tables.take(&fleetpb.Configuration{Version: 1, Document: configuration(t, 1, 1)})
+	c.tables.update(&fleetpb.Configuration{Version: 1, Document: configuration(t, 1, 1)})
 	for range 2 {
-		c.tables.take(&fleetpb.Configuration{Version: 2, Document: []byte("\xff")})
+		c.tables.update(&fleetpb.Configuration{Version: 2, Document: []byte("\xff")})
 	}
 	if v := c.RoutingTable().Version(); v != 1 || tries != 2 {
 		t.Errorf("version %d after %d tries", v, tries)
 	}
-	c.tables.take(&fleetpb.Configuration{Version: 3, Document: configuration(t, 3, 3)})
+	c.tables.update(&fleetpb.Configuration{Version: 3, Document: configuration(t, 3, 3)})
 	if v := c.RoutingTable().Version(); v != 3 {
 		t.Errorf("version %d, want 3", v)
 	}
 }
 
-// TestNoTellerHoldsUpATable: a control instance that has fallen silent, or lacks the
-// version, is passed over.
+// A control instance that does not answer or lacks the version must not delay a fetch.
 func TestNoTellerHoldsUpATable(t *testing.T) {
-	core := newCore(t)
-	put(t, core[0], 1, string(configuration(t, 1, 10)))
-	w := newEntryWatch(t, core)
+	cluster := startCluster(t)
+	putConfiguration(t, cluster[0], 1, string(configuration(t, 1, 10)))
+	w := newEntryWatch(t, cluster)
 	awaitVersion(t, w, 1)
-	await(t, func() bool { return len(w.Control(time.Minute)) == len(core) })
-	for _, p := range core {
-		await(t, func() bool { return p.controller.RoutingTable().Version() == 1 })
+	waitFor(t, func() bool { return len(w.Control(time.Minute)) == len(cluster) })
+	for _, p := range cluster {
+		waitFor(t, func() bool { return p.controller.RoutingTable().Version() == 1 })
 	}
-	// Whichever of them tells news, it is silent once.
-	for _, p := range core {
+	// Each instance in turn does not answer.
+	for _, p := range cluster {
 		p.controller.tables.mu.Lock()
 		table := fetch(t, w, nil, 1)
 		p.controller.tables.mu.Unlock()
@@ -229,8 +223,8 @@
 	return d
 }
 
-// quietLog drops all log lines.
-func quietLog() *logrus.Entry {
+// discardLog returns a logger that discards all messages.
+func discardLog() *logrus.Entry {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	return logrus.NewEntry(log)
--- a/rockbarrow/controller/votes.go
+++ b/rockbarrow/controller/votes.go
@@ -11,22 +11,21 @@
 	"rockbarrow.dev/schema/fleetpb"
 )
 
-// votes keeps an acceptor's record on the disk in two cells. A promise goes with every
-// read and every change of anything, and must not cost what is configured: it is written
-// by itself, in some hundred bytes. Only an accepted value is written whole.
-type votes struct {
-	// value holds a whole record, promise one without accepted ballot and state. The
-	// promise in force is the newer of the two; that there is a deployment holds if either says so.
+// voteStore persists an acceptor's record in two cells. Promises are frequent, as every read and
+// change needs one, so they are written separately from the much larger accepted value.
+type voteStore struct {
+	// value holds a whole record; promise holds a record without accepted ballot and state. The
+	// newer of the two promises is in force, and a deployment exists if either record says so.
 	value, promise *durable.Cell
 }
 
-// The names of the cells.
+// Names of the cells.
 const (
 	valueCell   = "register"
 	promiseCell = "promise"
 )
 
-// Used reports whether a data folder holds votes.
+// HasVotes reports whether a data directory contains votes.
 func HasVotes(dir string) (bool, error) {
 	used, err := durable.HasCell(dir, valueCell)
 	if used || err != nil {
@@ -35,8 +34,8 @@
 	return durable.HasCell(dir, promiseCell)
 }
 
-// openVotes reads the votes of a data folder. The record is nil on a new disk.
-func openVotes(dir string) (*votes, *fleetpb.AcceptorRecord, error) {
+// openVotes reads the votes in a data directory. The record is nil if the directory has none.
+func openVotes(dir string) (*voteStore, *fleetpb.AcceptorRecord, error) {
 	value, err := durable.OpenCell(dir, valueCell)
 	if err != nil {
 		return nil, nil, err
@@ -45,15 +44,15 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	v := &votes{value: value, promise: promise}
-	record, err := v.record()
+	v := &voteStore{value: value, promise: promise}
+	record, err := v.load()
 	if err != nil {
 		return nil, nil, errors.Wrap(&durable.DamagedError{Dir: dir, What: "a vote"}, err.Error())
 	}
 	return v, record, nil
 }
 
-func (v *votes) record() (*fleetpb.AcceptorRecord, error) {
+func (v *voteStore) load() (*fleetpb.AcceptorRecord, error) {
 	if v.value.Value() == nil && v.promise.Value() == nil {
 		return nil, nil
 	}
@@ -71,15 +70,15 @@
 	return record, nil
 }
 
-// savePromise writes what a promise changes of a record.
-func (v *votes) savePromise(r *fleetpb.AcceptorRecord) error {
-	return save(v.promise, &fleetpb.AcceptorRecord{Promised: r.GetPromised(), Formed: r.GetFormed()})
+// savePromise writes only the promise of a record.
+func (v *voteStore) savePromise(r *fleetpb.AcceptorRecord) error {
+	return saveCell(v.promise, &fleetpb.AcceptorRecord{Promised: r.GetPromised(), Formed: r.GetFormed()})
 }
 
 // saveValue writes a whole record.
-func (v *votes) saveValue(r *fleetpb.AcceptorRecord) error { return save(v.value, r) }
+func (v *voteStore) saveValue(r *fleetpb.AcceptorRecord) error { return saveCell(v.value, r) }
 
-func save(cell *durable.Cell, r *fleetpb.AcceptorRecord) error {
+func saveCell(cell *durable.Cell, r *fleetpb.AcceptorRecord) error {
 	b, err := proto.Marshal(r)
 	if err != nil {
 		return err
--- a/rockbarrow/controller/votes_test.go
+++ b/rockbarrow/controller/votes_test.go
@@ -17,8 +17,8 @@
 	"rockbarrow.dev/schema/fleetpb"
 )
 
-// bytesIn is the size of the largest file of a data folder by a name's beginning.
-func bytesIn(t *testing.T, dir, name string) int64 {
+// largestFile returns the size of the largest file of a data directory with the given name prefix.
+func largestFile(t *testing.T, dir, name string) int64 {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join(dir, name+"-*"))
 	if err != nil {
@@ -35,35 +35,33 @@
 	return most
 }
 
-// TestAPromiseDoesNotCostWhatIsConfigured: every read by an operator wrote the whole
-// configuration to the disks of all voters, twice the work of accepting it. A change counts once
-// two of three have accepted it, and a read that meets the third brings it there, as it must; so
-// all three are waited for.
+// A read must not rewrite the value on the voters' disks. The test waits for all three voters,
+// since a read that meets one without the value must write it there.
 func TestAPromiseDoesNotCostWhatIsConfigured(t *testing.T) {
-	core := newCore(t)
-	put(t, core[0], 1, large("one"))
-	await(t, func() bool { return acceptedByAll(core, large("one")) })
+	cluster := startCluster(t)
+	putConfiguration(t, cluster[0], 1, largeDocument("one"))
+	waitFor(t, func() bool { return acceptedByAll(cluster, largeDocument("one")) })
 	var before [][]byte
-	for _, p := range core {
-		before = append(before, p.controller.disk.value.Value())
+	for _, p := range cluster {
+		before = append(before, p.controller.voteStore.value.Value())
 	}
-	if _, err := core[0].controller.Read(t.Context()); err != nil {
+	if _, err := cluster[0].controller.Read(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	if n := bytesIn(t, core[0].dir, "promise"); n == 0 || n > 1000 {
-		t.Errorf("a promise takes %d bytes on the disk", n)
+	if n := largestFile(t, cluster[0].dir, "promise"); n == 0 || n > 1000 {
+		t.Errorf("a promise takes %d bytes on disk", n)
 	}
-	for i, p := range core {
-		if after := p.controller.disk.value.Value(); !bytes.Equal(after, before[i]) || len(after) < len(large("one")) {
-			t.Errorf("voter %d wrote the value anew: %d bytes, %d before", i, len(after), len(before[i]))
+	for i, p := range cluster {
+		if after := p.controller.voteStore.value.Value(); !bytes.Equal(after, before[i]) || len(after) < len(largeDocument("one")) {
+			t.Errorf("voter %d rewrote the value: %d bytes, %d before", i, len(after), len(before[i]))
 		}
 	}
 }
 
-// acceptedByAll reports whether all voters have accepted a document, under one ballot.
-func acceptedByAll(core []*place, document string) bool {
-	newest := core[0].controller.acceptorRecord()
-	for _, p := range core {
+// acceptedByAll reports whether all voters have accepted a document under the same ballot.
+func acceptedByAll(cluster []*testInstance, document string) bool {
+	newest := cluster[0].controller.acceptorRecord()
+	for _, p := range cluster {
 		r := p.controller.acceptorRecord()
 		if register.CompareBallots(r.GetAccepted(), newest.GetAccepted()) != 0 {
 			return false
@@ -72,7 +70,7 @@
 	return string(newest.GetState().GetConfiguration().GetDocument()) == document
 }
 
-// TestAPromiseSurvivesARestart: alone, after a value, and before another one.
+// A promise must survive a restart before, after and between values.
 func TestAPromiseSurvivesARestart(t *testing.T) {
 	ballot := func(round uint64) *fleetpb.Ballot { return &fleetpb.Ballot{Round: round, Proposer: 1} }
 	dir := t.TempDir()
@@ -108,15 +106,14 @@
 	reopened(want)
 }
 
-// BenchmarkRead is a read by an operator, BenchmarkPut a change of one route, by three
-// control instances in one process.
+// BenchmarkRead measures an operator's read with three control instances in one process.
 func BenchmarkRead(b *testing.B) {
 	for _, n := range []int{100, 10000} {
 		b.Run(fmt.Sprintf("routes=%d", n), func(b *testing.B) {
-			core := newCore(b)
-			put(b, core[0], 1, string(configuration(b, 1, n)))
+			cluster := startCluster(b)
+			putConfiguration(b, cluster[0], 1, string(configuration(b, 1, n)))
 			for b.Loop() {
-				if _, err := core[0].controller.Read(b.Context()); err != nil {
+				if _, err := cluster[0].controller.Read(b.Context()); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -124,29 +121,29 @@
 	}
 }
 
+// BenchmarkPut measures a change of one route with three control instances in one process.
 func BenchmarkPut(b *testing.B) {
 	for _, n := range []int{100, 10000} {
 		b.Run(fmt.Sprintf("routes=%d", n), func(b *testing.B) {
-			core := newCore(b)
+			cluster := startCluster(b)
 			version := uint64(0)
 			for b.Loop() {
 				version++
-				put(b, core[0], version, string(configuration(b, version, n+int(version))))
+				putConfiguration(b, cluster[0], version, string(configuration(b, version, n+int(version))))
 			}
 		})
 	}
 }
 
-// TestNoVoteBeginsAfterAStop: a round that began while its instance stopped went on to write
-// to a disk that counted as closed; the race detector saw it in a restart of all.
+// No vote may be written after a controller has stopped.
 func TestNoVoteBeginsAfterAStop(t *testing.T) {
-	core := newCore(t)
-	put(t, core[0], 1, "one")
-	c := core[0].controller
-	core[0].stop()
+	cluster := startCluster(t)
+	putConfiguration(t, cluster[0], 1, "one")
+	c := cluster[0].controller
+	cluster[0].stop()
 	before := c.acceptorRecord()
 	var unavailable *UnavailableError
-	ctx, cancel := context.WithTimeout(t.Context(), roundWithin)
+	ctx, cancel := context.WithTimeout(t.Context(), roundTimeout)
 	defer cancel()
 	if _, err := c.Read(ctx); !errors.As(err, &unavailable) {
 		t.Errorf("%v, want an UnavailableError", err)
