--- a/rockbarrow/register/acceptor.go
+++ b/rockbarrow/register/acceptor.go
@@ -10,39 +10,40 @@
 	"rockbarrow.dev/schema/fleetpb"
 )
 
-// Acceptor is one voter. The caller saves [Acceptor.Record] on the disk before
-// it sends a reply for which changed is true.
+// Acceptor is the state of one voter. The caller must save [Acceptor.Record] to disk before it
+// sends a reply for which changed is true.
 type Acceptor struct {
-	// Storage names the life of the storage that the votes are kept on.
+	// Storage identifies the incarnation of the storage on which the votes are kept.
 	Storage uint64
-	// Founder is true if the storage is that of the very first start: no life of it has voted before.
+	// Founder reports whether the storage was first started at the first start of the deployment,
+	// so that no earlier incarnation of it can have voted.
 	Founder bool
-	// Seeds are the addresses where the first value is voted on, as they were told at the first
+	// Seeds are the addresses at which the initial value is voted on, as configured at the first
 	// start of this storage. They never change.
 	Seeds []string
-	// Losses is how many storages may be lost at once.
+	// FaultTolerance is the number of storages that may be lost at the same time.
 	FaultTolerance int
 
-	// record never goes back to an older ballot.
+	// record never returns to an older ballot.
 	record *fleetpb.AcceptorRecord
 }
 
-// Restore sets the acceptor to what its disk holds.
+// Restore sets the record to the one stored on disk.
 func (a *Acceptor) Restore(r *fleetpb.AcceptorRecord) { a.record = r }
 
-// Record returns what must be on the disk; it is not changed later.
+// Record returns the record that must be on disk. It is not modified later.
 func (a *Acceptor) Record() *fleetpb.AcceptorRecord { return a.record }
 
-// Prepare answers a proposer that wants older ballots refused.
+// Prepare handles a request to reject older ballots.
 func (a *Acceptor) Prepare(req *fleetpb.PrepareRequest) (reply *fleetpb.PrepareReply, changed bool) {
-	if req.GetAcceptor() != a.Storage || !a.mayFound(req.GetSeeds()) {
+	if req.GetAcceptor() != a.Storage || !a.mayVoteOnInitial(req.GetSeeds()) {
 		return &fleetpb.PrepareReply{Silent: true}, false
 	}
 	promised := a.record.GetPromised()
 	if CompareBallots(req.GetBallot(), promised) <= 0 {
 		return &fleetpb.PrepareReply{Promised: promised}, false
 	}
-	next := a.next()
+	next := a.copyRecord()
 	next.Promised = req.GetBallot()
 	a.record = next
 	return &fleetpb.PrepareReply{
@@ -51,10 +52,11 @@
 	}, true
 }
 
-// mayFound reports whether this storage may vote, if the request is about the first value. All such votes are
-// about one list of addresses. A storage that knows of a deployment forms no other, and one that is not of
-// the first start helps only where no losses can have undone what a majority of founders chose.
-func (a *Acceptor) mayFound(seeds []string) bool {
+// mayVoteOnInitial reports whether this storage may vote on the initial value at the given seeds;
+// it is always true for requests without seeds. All such votes must concern the same seeds. A
+// storage that knows of a deployment may not vote, and one that is no founder may vote only if the
+// tolerated losses cannot undo a choice by a majority of founders.
+func (a *Acceptor) mayVoteOnInitial(seeds []string) bool {
 	switch {
 	case len(seeds) == 0 || a.record.GetState() != nil:
 		return true
@@ -64,18 +66,19 @@
 	return a.Founder || a.FaultTolerance <= len(a.Seeds)/2
 }
 
-// Form remembers that there is a deployment. It reports whether that is new; the caller saves it.
+// MarkFormed records that a deployment exists. It reports whether the record changed and must be
+// saved.
 func (a *Acceptor) MarkFormed() (changed bool) {
 	if a.record.GetFormed() || a.record.GetState() != nil {
 		return false
 	}
-	next := a.next()
+	next := a.copyRecord()
 	next.Formed = true
 	a.record = next
 	return true
 }
 
-// Accept answers a proposer that wants a value stored.
+// Accept handles a request to store a value.
 func (a *Acceptor) Accept(req *fleetpb.AcceptRequest) (reply *fleetpb.AcceptReply, changed bool) {
 	if req.GetAcceptor() != a.Storage {
 		return &fleetpb.AcceptReply{Silent: true}, false
@@ -84,23 +87,23 @@
 	if CompareBallots(req.GetBallot(), promised) < 0 {
 		return &fleetpb.AcceptReply{Promised: promised}, false
 	}
-	next := a.next()
+	next := a.copyRecord()
 	next.Promised, next.Accepted, next.State = req.GetBallot(), req.GetBallot(), req.GetState()
 	a.record = next
 	return &fleetpb.AcceptReply{Promised: req.GetBallot(), Granted: true}, true
 }
 
-// next returns a shallow copy of the record, as the disk may still be writing
-// the old one.
-func (a *Acceptor) next() *fleetpb.AcceptorRecord {
+// copyRecord returns a shallow copy of the record, since the old one may still be in use by a write
+// to disk.
+func (a *Acceptor) copyRecord() *fleetpb.AcceptorRecord {
 	return &fleetpb.AcceptorRecord{
 		Promised: a.record.GetPromised(), Accepted: a.record.GetAccepted(),
 		State: a.record.GetState(), Formed: a.record.GetFormed(),
 	}
 }
 
-// Clone copies a state for a change. The configuration is shared: a change puts another
-// one in its place and never alters it, and its document may be large.
+// CloneState returns a deep copy of a state that shares the configuration. Changes replace the
+// configuration, which may be large, and never modify it.
 func CloneState(s *fleetpb.State) *fleetpb.State {
 	shallow := &fleetpb.State{
 		Number: s.GetNumber(), Voters: s.GetVoters(), PriorVoters: s.GetPriorVoters(),
--- a/rockbarrow/register/ballot.go
+++ b/rockbarrow/register/ballot.go
@@ -8,7 +8,7 @@
 	"rockbarrow.dev/schema/fleetpb"
 )
 
-// Compare orders ballots by round, then by proposer. A nil ballot is the oldest.
+// CompareBallots orders ballots by round, then by proposer. A nil ballot is the lowest.
 func CompareBallots(a, b *fleetpb.Ballot) int {
 	if c := cmp.Compare(a.GetRound(), b.GetRound()); c != 0 {
 		return c
@@ -16,12 +16,12 @@
 	return cmp.Compare(a.GetProposer(), b.GetProposer())
 }
 
-// Same reports whether two lists name the same lives of storage.
+// SameMembers reports whether two lists contain the same storages in any order.
 func SameMembers(a, b []*fleetpb.Member) bool {
 	return len(a) == len(b) && containsAll(a, b) && containsAll(b, a)
 }
 
-// Addresses returns those of a list, in its order.
+// Addresses returns the addresses of the members in order.
 func Addresses(list []*fleetpb.Member) []string {
 	out := make([]string, 0, len(list))
 	for _, m := range list {
@@ -30,7 +30,7 @@
 	return out
 }
 
-// Has reports whether a list names a life of a storage.
+// ContainsStorage reports whether a list contains the given storage.
 func ContainsStorage(list []*fleetpb.Member, storage uint64) bool {
 	for _, m := range list {
 		if m.GetStorage() == storage {
--- a/rockbarrow/register/clone_test.go
+++ b/rockbarrow/register/clone_test.go
@@ -11,7 +11,7 @@
 	"rockbarrow.dev/schema/fleetpb"
 )
 
-// TestAChangeKeepsAllOfTheState: a field that a copy left out was gone after the next change of anything.
+// A field that CloneState omits would be lost with the next change.
 func TestAChangeKeepsAllOfTheState(t *testing.T) {
 	s := &fleetpb.State{
 		Number: 1, Configuration: &fleetpb.Configuration{Version: 2}, Voters: []*fleetpb.Member{{Storage: 3}},
@@ -22,7 +22,7 @@
 	for i := range fields.Len() {
 		var f protoreflect.FieldDescriptor = fields.Get(i)
 		if !s.ProtoReflect().Has(f) {
-			t.Errorf("field %s is not tried", f.Name())
+			t.Errorf("field %s is not set by this test", f.Name())
 		}
 	}
 	if c := CloneState(s); !proto.Equal(c, s) {
--- a/rockbarrow/register/founding_test.go
+++ b/rockbarrow/register/founding_test.go
@@ -9,67 +9,67 @@
 	"rockbarrow.dev/schema/fleetpb"
 )
 
-// founding plays the first start of a deployment of four instances, three of them seeds, under lost, late
-// and reordered messages, instances that lost their identity before they voted, and lost disks.
-type founding struct {
+// bootstrapModel simulates the first start of a deployment of four instances, three of them seeds,
+// with lost, delayed and reordered messages, instances that are no founders, and lost disks.
+type bootstrapModel struct {
 	*model
-	// at holds the storage of each instance today, the seeds' first.
-	at []uint64
-	// lost is true for an instance whose disk was lost and that knows of no deployment since.
-	lost   []bool
-	losses int
-	next   uint64
-	// newest is the newest value that was chosen.
-	newest *fleetpb.State
-	// formed is true once an instance has learned a value.
+	// storages holds the current storage of each instance, seeds first.
+	storages []uint64
+	// wiped is true for an instance that lost its disk and has not learned of a deployment since.
+	wiped          []bool
+	faultTolerance int
+	nextStorage    uint64
+	// newestChosen is the newest chosen value.
+	newestChosen *fleetpb.State
+	// formed is set once an instance has learned a value.
 	formed bool
 }
 
-func newFounding(t testing.TB, seed uint64) *founding {
-	f := &founding{model: newModel(t, seed, 4), lost: make([]bool, 4), losses: 1 + int(seed%2), next: 100}
+func newBootstrapModel(t testing.TB, seed uint64) *bootstrapModel {
+	f := &bootstrapModel{model: newModel(t, seed, 4), wiped: make([]bool, 4), faultTolerance: 1 + int(seed%2), nextStorage: 100}
 	for id := range uint64(4) {
 		a := f.acceptors[id+1]
-		a.Founder, a.FaultTolerance = f.r.IntN(4) > 0, f.losses
-		f.at = append(f.at, id+1)
+		a.Founder, a.FaultTolerance = f.rng.IntN(4) > 0, f.faultTolerance
+		f.storages = append(f.storages, id+1)
 	}
 	return f
 }
 
-func (f *founding) member(i int) *fleetpb.Member {
-	return &fleetpb.Member{Instance: fmt.Sprint("control-", i), Storage: f.at[i], Address: fmt.Sprint("address-", i+1)}
+func (f *bootstrapModel) member(i int) *fleetpb.Member {
+	return &fleetpb.Member{Instance: fmt.Sprint("control-", i), Storage: f.storages[i], Address: fmt.Sprint("address-", i+1)}
 }
 
-// heard returns the seeds as one instance has heard them.
-func (f *founding) heard() (seeds, known []*fleetpb.Member) {
+// randomSeeds returns the seeds as one instance may know them, and the members it has heard.
+func (f *bootstrapModel) randomSeeds() (seeds, known []*fleetpb.Member) {
 	for i := range 3 {
 		m := f.member(i)
-		if f.r.IntN(4) == 0 {
+		if f.rng.IntN(4) == 0 {
 			m = &fleetpb.Member{Address: m.GetAddress()}
 		} else {
 			known = append(known, m)
 		}
 		seeds = append(seeds, m)
 	}
-	if f.r.IntN(2) == 0 {
+	if f.rng.IntN(2) == 0 {
 		known = append(known, f.member(3))
 	}
 	return seeds, known
 }
 
-func (f *founding) propose(i int) {
-	by := f.at[i]
+func (f *bootstrapModel) propose(i int) {
+	by := f.storages[i]
 	state := f.acceptors[by].Record().GetState()
 	if k := f.known[by]; k.GetNumber() > state.GetNumber() {
 		state = k
 	}
-	seeds, known := f.heard()
-	change := put(f.rounds+1, fmt.Sprint("by ", by))
+	seeds, known := f.randomSeeds()
+	change := putConfiguration(f.rounds+1, fmt.Sprint("by ", by))
 	if state == nil {
 		if len(known) == 0 {
 			return
 		}
 		change = InitialState(known, seeds)
-	} else if f.r.IntN(3) == 0 {
+	} else if f.rng.IntN(3) == 0 {
 		change = func(s *fleetpb.State) *fleetpb.State {
 			if s.GetPriorVoters() == nil {
 				return nil
@@ -81,56 +81,55 @@
 	f.proposeFrom(by, state, seeds, change)
 }
 
-// tell lets one instance learn the newest value that was chosen.
-func (f *founding) tell(i int) {
+// learn tells one instance the newest chosen value.
+func (f *bootstrapModel) learn(i int) {
 	for _, s := range f.known {
-		if s.GetNumber() > f.newest.GetNumber() {
-			f.newest = s
+		if s.GetNumber() > f.newestChosen.GetNumber() {
+			f.newestChosen = s
 		}
 	}
-	if f.newest == nil {
+	if f.newestChosen == nil {
 		return
 	}
 	f.formed = true
-	f.known[f.at[i]] = f.newest
-	f.acceptors[f.at[i]].MarkFormed()
-	f.lost[i] = false
+	f.known[f.storages[i]] = f.newestChosen
+	f.acceptors[f.storages[i]].MarkFormed()
+	f.wiped[i] = false
 }
 
-// lose empties an instance's disk, within what may be lost at once. It is no founder then.
-func (f *founding) lose(i int) {
+// wipe replaces an instance's disk by an empty one, within the tolerated losses.
+func (f *bootstrapModel) wipe(i int) {
 	blank := 1
-	for other, lost := range f.lost {
+	for other, lost := range f.wiped {
 		if lost && other != i {
 			blank++
 		}
 	}
-	if blank > f.losses || f.lost[i] {
+	if blank > f.faultTolerance || f.wiped[i] {
 		return
 	}
-	f.lost[i] = true
-	seeds := f.acceptors[f.at[i]].Seeds
-	delete(f.acceptors, f.at[i])
-	f.next++
-	f.at[i] = f.next
-	f.acceptors[f.next] = &Acceptor{Storage: f.next, Seeds: seeds, FaultTolerance: f.losses}
+	f.wiped[i] = true
+	seeds := f.acceptors[f.storages[i]].Seeds
+	delete(f.acceptors, f.storages[i])
+	f.nextStorage++
+	f.storages[i] = f.nextStorage
+	f.acceptors[f.nextStorage] = &Acceptor{Storage: f.nextStorage, Seeds: seeds, FaultTolerance: f.faultTolerance}
 }
 
-// TestOneDeploymentIsFounded: whatever is chosen first is the only first value, and what follows forms
-// one line with it.
+// Only one initial value may be chosen, and all later values must follow from it.
 func TestOneDeploymentIsFounded(t *testing.T) {
 	formed := 0
 	for seed := range uint64(4000) {
-		f := newFounding(t, seed)
+		f := newBootstrapModel(t, seed)
 		for range 250 {
-			switch i := f.r.IntN(4); f.r.IntN(40) {
+			switch i := f.rng.IntN(4); f.rng.IntN(40) {
 			case 0, 1, 2:
 				f.propose(i)
 			case 3:
-				f.tell(i)
+				f.learn(i)
 			case 4:
-				if f.r.IntN(8) == 0 {
-					f.lose(i)
+				if f.rng.IntN(8) == 0 {
+					f.wipe(i)
 				}
 			default:
 				f.deliver()
@@ -144,6 +143,6 @@
 		}
 	}
 	if formed < 1000 {
-		t.Errorf("only %d of 4000 plays formed a deployment", formed)
+		t.Errorf("only %d of 4000 runs formed a deployment", formed)
 	}
 }
--- a/rockbarrow/register/model_test.go
+++ b/rockbarrow/register/model_test.go
@@ -12,19 +12,19 @@
 	"rockbarrow.dev/schema/fleetpb"
 )
 
-// model runs rounds of several proposers against acceptors under lost, late and
-// reordered messages, and checks that the chosen values form one line.
+// model runs rounds of several proposers with lost, delayed and reordered messages, and checks that
+// the chosen values form a single history.
 type model struct {
 	t         testing.TB
-	r         *rand.Rand
+	rng       *rand.Rand
 	acceptors map[uint64]*Acceptor
-	// wire holds messages that are under way.
-	wire []func()
-	// chosen holds the value of each number that was chosen.
+	// pending holds the messages in flight.
+	pending []func()
+	// chosen holds the chosen value of each number.
 	chosen map[uint64]string
 	known  map[uint64]*fleetpb.State
 	rounds uint64
-	// initial are the first voters, at the seeds' addresses.
+	// initial are the first voters, at the addresses of the seeds.
 	initial []*fleetpb.Member
 }
 
@@ -33,7 +33,7 @@
 }
 
 func newModel(t testing.TB, seed uint64, n int) *model {
-	m := &model{t: t, r: rand.New(rand.NewPCG(seed, 1)), acceptors: map[uint64]*Acceptor{}, chosen: map[uint64]string{}, known: map[uint64]*fleetpb.State{}}
+	m := &model{t: t, rng: rand.New(rand.NewPCG(seed, 1)), acceptors: map[uint64]*Acceptor{}, chosen: map[uint64]string{}, known: map[uint64]*fleetpb.State{}}
 	for i := range uint64(n) {
 		m.acceptors[i+1] = &Acceptor{Storage: i + 1, Founder: true, FaultTolerance: 1}
 		if i < 3 {
@@ -46,7 +46,7 @@
 	return m
 }
 
-// propose starts a round whose messages go over the wire.
+// propose starts a round.
 func (m *model) propose(by uint64, change Change) { m.proposeFrom(by, m.known[by], m.initial, change) }
 
 func (m *model) proposeFrom(by uint64, known *fleetpb.State, seeds []*fleetpb.Member, change Change) {
@@ -85,22 +85,22 @@
 	}
 }
 
-// send puts a message on the wire; one in eight is lost.
+// send queues a message; one in eight is lost.
 func (m *model) send(deliver func()) {
-	if m.r.IntN(8) > 0 {
-		m.wire = append(m.wire, deliver)
+	if m.rng.IntN(8) > 0 {
+		m.pending = append(m.pending, deliver)
 	}
 }
 
-// deliver hands over a message drawn from those under way.
+// deliver delivers a random message.
 func (m *model) deliver() {
-	if len(m.wire) == 0 {
+	if len(m.pending) == 0 {
 		return
 	}
-	i := m.r.IntN(len(m.wire))
-	f := m.wire[i]
-	m.wire[i] = m.wire[len(m.wire)-1]
-	m.wire = m.wire[:len(m.wire)-1]
+	i := m.rng.IntN(len(m.pending))
+	f := m.pending[i]
+	m.pending[i] = m.pending[len(m.pending)-1]
+	m.pending = m.pending[:len(m.pending)-1]
 	f()
 }
 
@@ -115,8 +115,8 @@
 	m.chosen[s.GetNumber()] = v
 }
 
-// form writes the first value.
-func form(initial []*fleetpb.Member) Change {
+// initialize returns a change that writes the initial value.
+func initialize(initial []*fleetpb.Member) Change {
 	return func(s *fleetpb.State) *fleetpb.State {
 		if s.GetNumber() > 0 {
 			return nil
@@ -126,7 +126,7 @@
 	}
 }
 
-func put(version uint64, document string) Change {
+func putConfiguration(version uint64, document string) Change {
 	return func(s *fleetpb.State) *fleetpb.State {
 		if s.GetNumber() == 0 || version <= s.GetConfiguration().GetVersion() {
 			return nil
@@ -136,8 +136,8 @@
 	}
 }
 
-// swap replaces a voter in two steps.
-func swap(old, new uint64) Change {
+// replaceVoter returns a change that replaces a voter in two steps.
+func replaceVoter(old, new uint64) Change {
 	return func(s *fleetpb.State) *fleetpb.State {
 		if len(s.GetPriorVoters()) > 0 {
 			s.PriorVoters = nil
@@ -163,18 +163,18 @@
 		m := newModel(t, seed, 5)
 		m.known[4], m.known[5] = nil, nil
 		for range 400 {
-			switch by := 1 + m.r.Uint64N(3); m.r.IntN(30) {
+			switch by := 1 + m.rng.Uint64N(3); m.rng.IntN(30) {
 			case 0:
-				m.propose(by, form(m.initial))
+				m.propose(by, initialize(m.initial))
 			case 1, 2:
-				version := 1 + m.r.Uint64N(6)
-				m.propose(by, put(version, fmt.Sprint("by ", by, " ", m.rounds)))
+				version := 1 + m.rng.Uint64N(6)
+				m.propose(by, putConfiguration(version, fmt.Sprint("by ", by, " ", m.rounds)))
 			case 3:
-				m.propose(by, swap(1+m.r.Uint64N(5), 1+m.r.Uint64N(5)))
+				m.propose(by, replaceVoter(1+m.rng.Uint64N(5), 1+m.rng.Uint64N(5)))
 			case 5:
-				// An instance that has just started knows only what its own disk holds.
-				by = 1 + m.r.Uint64N(5)
-				m.proposeFrom(by, m.acceptors[by].Record().GetState(), m.initial, swap(1+m.r.Uint64N(5), 1+m.r.Uint64N(5)))
+				// An instance that has just started knows only its own disk.
+				by = 1 + m.rng.Uint64N(5)
+				m.proposeFrom(by, m.acceptors[by].Record().GetState(), m.initial, replaceVoter(1+m.rng.Uint64N(5), 1+m.rng.Uint64N(5)))
 			case 4:
 				m.propose(by, nil)
 			default:
@@ -186,19 +186,19 @@
 
 func TestTwoContentsOfOneVersionHaveOneWinner(t *testing.T) {
 	m := newModel(t, 7, 3)
-	m.r = rand.New(rand.NewPCG(3, 3))
+	m.rng = rand.New(rand.NewPCG(3, 3))
 	settle := func() {
-		for len(m.wire) > 0 {
+		for len(m.pending) > 0 {
 			m.deliver()
 		}
 	}
 	for range 10 {
-		m.propose(1, form(m.initial))
+		m.propose(1, initialize(m.initial))
 		settle()
 	}
 	for i := range 20 {
-		m.propose(1, put(7, "first"))
-		m.propose(2, put(7, "second"))
+		m.propose(1, putConfiguration(7, "first"))
+		m.propose(2, putConfiguration(7, "second"))
 		settle()
 		m.propose(uint64(i%3+1), nil)
 		settle()
@@ -221,20 +221,20 @@
 	a := &Acceptor{Storage: 9}
 	reply, changed := a.Prepare(&fleetpb.PrepareRequest{Ballot: &fleetpb.Ballot{Round: 1}, Acceptor: 1})
 	if !reply.GetSilent() || changed {
-		t.Error("a storage voted for the one before it")
+		t.Error("a storage voted on behalf of an earlier one")
 	}
-	// One whose disk was emptied later helps to found only where that can't have undone a deployment,
-	// and never counts as a founder.
+	// A storage that is no founder may vote on the initial value only if the tolerated losses
+	// permit it, and must not claim to be a founder.
 	a.Seeds = []string{"x", "y", "z"}
 	founding := func(round uint64) *fleetpb.PrepareRequest {
 		return &fleetpb.PrepareRequest{Ballot: &fleetpb.Ballot{Round: round}, Acceptor: 9, Seeds: a.Seeds}
 	}
 	if reply, _ := a.Prepare(founding(1)); !reply.GetGranted() || reply.GetFounder() {
-		t.Errorf("%v, want a promise of no founder", reply)
+		t.Errorf("%v, want a promise without founder status", reply)
 	}
 	a.FaultTolerance = 2
 	if reply, _ := a.Prepare(founding(2)); !reply.GetSilent() {
-		t.Error("a storage that was emptied later founds where two of three may have been lost")
+		t.Error("a storage that is no founder voted although two of three may have been lost")
 	}
 }
 
@@ -245,21 +245,20 @@
 		return reply.GetGranted()
 	}
 	if !ask(1, "x", "y", "z") || !ask(2, "x", "y", "z") {
-		t.Fatal("the own list was refused")
+		t.Fatal("a request with the configured seeds was rejected")
 	}
 	if ask(3, "x", "y", "w") || ask(4, "x", "y") {
-		t.Error("another list was voted about")
+		t.Error("a request with different seeds was granted")
 	}
 	if !a.MarkFormed() || a.MarkFormed() {
-		t.Error("that there is a deployment is not remembered once")
+		t.Error("MarkFormed must report a change exactly once")
 	}
 	if ask(5, "x", "y", "z") {
-		t.Error("a storage that knows of a deployment formed another")
+		t.Error("a storage that knows of a deployment voted on an initial value")
 	}
 }
 
-// TestAChangeOfVotersNeedsBothSets delivers a change of voters to a majority of
-// the new set alone: others, who know the old set, could choose without it.
+// A majority of the new voters alone must not be enough to choose a change of voters.
 func TestAChangeOfVotersNeedsBothSets(t *testing.T) {
 	m := newModel(t, 1, 4)
 	base := &fleetpb.State{Number: 1, Voters: m.initial}
@@ -267,7 +266,7 @@
 	for _, v := range m.initial {
 		m.acceptors[v.GetStorage()].Accept(&fleetpb.AcceptRequest{Ballot: first, Acceptor: v.GetStorage(), State: base})
 	}
-	r := &Round{Ballot: &fleetpb.Ballot{Round: 2, Proposer: 1}, Known: base, Change: swap(3, 4)}
+	r := &Round{Ballot: &fleetpb.Ballot{Round: 2, Proposer: 1}, Known: base, Change: replaceVoter(3, 4)}
 	var accepts []Accept
 	for _, a := range r.Handle(Begin{}) {
 		p := a.(Prepare)
@@ -284,15 +283,15 @@
 		}
 		reply, _ := m.acceptors[a.To.GetStorage()].Accept(a.Request)
 		if out := r.Handle(Accepted{From: a.To.GetStorage(), Reply: reply}); len(out) > 0 {
-			t.Errorf("chosen by a majority of the new set alone: %v", out)
+			t.Errorf("chosen by a majority of the new voters alone: %v", out)
 		}
 	}
 	if len(asked) != 4 {
-		t.Errorf("%d acceptors were asked, want those of both sets", len(asked))
+		t.Errorf("%d acceptors received the proposal, want those of both sets", len(asked))
 	}
 }
 
-// TestACloneSharesTheDocument: control instances plan on a clone several times a second.
+// Clones are frequent and must not copy the configuration document.
 func TestACloneSharesTheDocument(t *testing.T) {
 	s := &fleetpb.State{
 		Number: 3, Configuration: &fleetpb.Configuration{Version: 2, Document: []byte("large")}, Retired: []string{"a"},
@@ -300,13 +299,13 @@
 	}
 	c := CloneState(s)
 	if !proto.Equal(c, s) {
-		t.Errorf("%v is no clone of %v", c, s)
+		t.Errorf("clone %v differs from %v", c, s)
 	}
 	if c.GetConfiguration() != s.GetConfiguration() {
-		t.Error("the document was copied")
+		t.Error("the configuration was copied")
 	}
 	c.View.Epoch, c.Voters[0].Instance, c.Retired[0] = 9, "x", "x"
 	if s.GetView().GetEpoch() != 4 || s.GetVoters()[0].GetInstance() != "v" || s.GetRetired()[0] != "a" {
-		t.Error("a change of the clone has changed the state")
+		t.Error("changing the clone changed the original")
 	}
 }
--- a/rockbarrow/register/move_test.go
+++ b/rockbarrow/register/move_test.go
@@ -8,9 +8,9 @@
 	"rockbarrow.dev/schema/fleetpb"
 )
 
-// play carries a round whose prepares and accepts reach only some acceptors, in the order given. It
-// returns the chosen value, or nil.
-func (m *model) play(r *Round, prepares, accepts []uint64) *fleetpb.State {
+// runRound runs a round whose requests reach only the given acceptors, in that order. It returns
+// the chosen value, or nil.
+func (m *model) runRound(r *Round, prepares, accepts []uint64) *fleetpb.State {
 	actions := r.Handle(Begin{})
 	for len(actions) > 0 {
 		var next []Action
@@ -40,11 +40,8 @@
 	return nil
 }
 
-// TestAMoveOfVotersBuildsOnAChosenValue tells how a configuration that was acknowledged can come back
-// older: an instance that is to be a voter holds a value of two sets of voters that nobody else has
-// accepted. A second round ended that move on top of it, and the result, held by the new voter alone,
-// let it choose with a majority of the new set, while the old one had chosen something else. Found by
-// reading while the rules of founding were written down; it takes three lost rounds during a move.
+// A change of voters must not be completed on top of a value that was never chosen: a new voter
+// that alone holds it could otherwise choose without the old voters and roll back a configuration.
 func TestAMoveOfVotersBuildsOnAChosenValue(t *testing.T) {
 	m := newModel(t, 1, 4)
 	base := &fleetpb.State{Number: 1, Voters: m.initial}
@@ -56,16 +53,16 @@
 	ballot := func(round, by uint64) *fleetpb.Ballot { return &fleetpb.Ballot{Round: round, Proposer: by} }
 	held := func() *fleetpb.State { return m.acceptors[4].Record().GetState() }
 
-	m.play(&Round{Ballot: ballot(2, 1), Known: base, Change: swap(3, 4)}, []uint64{1, 2}, []uint64{4})
+	m.runRound(&Round{Ballot: ballot(2, 1), Known: base, Change: replaceVoter(3, 4)}, []uint64{1, 2}, []uint64{4})
 	if len(held().GetPriorVoters()) == 0 {
-		t.Fatal("the new voter holds no move")
+		t.Fatal("the new voter does not hold the change of voters")
 	}
-	m.play(&Round{Ballot: ballot(3, 4), Known: held(), Change: swap(3, 4)}, []uint64{4, 1, 2}, []uint64{4})
-	acked := m.play(&Round{Ballot: ballot(4, 2), Known: base, Change: put(7, "seven")}, []uint64{2, 3}, []uint64{2, 3})
+	m.runRound(&Round{Ballot: ballot(3, 4), Known: held(), Change: replaceVoter(3, 4)}, []uint64{4, 1, 2}, []uint64{4})
+	acked := m.runRound(&Round{Ballot: ballot(4, 2), Known: base, Change: putConfiguration(7, "seven")}, []uint64{2, 3}, []uint64{2, 3})
 	if acked.GetConfiguration().GetVersion() != 7 {
-		t.Fatal("the old voters took no configuration")
+		t.Fatal("the old voters did not choose the configuration")
 	}
-	read := m.play(&Round{Ballot: ballot(5, 4), Known: held()}, []uint64{4, 1}, []uint64{4, 1})
+	read := m.runRound(&Round{Ballot: ballot(5, 4), Known: held()}, []uint64{4, 1}, []uint64{4, 1})
 	if read != nil && read.GetConfiguration().GetVersion() != 7 {
 		t.Errorf("version %d was read after version 7 was acknowledged", read.GetConfiguration().GetVersion())
 	}
--- a/rockbarrow/register/round.go
+++ b/rockbarrow/register/round.go
@@ -4,13 +4,13 @@
 
 import "rockbarrow.dev/schema/fleetpb"
 
-// Change returns the value that follows s, or nil if s is to stay as it is. It
-// gets a copy of its own; s is empty, with number zero, before the first value.
+// Change returns the value that follows s, or nil to leave s unchanged. It receives its own copy,
+// which is empty with number zero before the initial value.
 type Change func(s *fleetpb.State) *fleetpb.State
 
-// First returns the change that makes the first value, with voters that were heard. Until the first move of
-// voters a majority at the seeds' addresses counts beside them: two first values that are proposed at once
-// may have other voters, and only the seeds are the same for both.
+// InitialState returns the change that creates the initial value with the given voters. A majority
+// of the seeds is required in addition until the first change of voters: concurrently proposed
+// initial values may have different voters, but they share the seeds.
 func InitialState(voters, seeds []*fleetpb.Member) Change {
 	return func(s *fleetpb.State) *fleetpb.State {
 		if s.GetNumber() > 0 {
@@ -21,7 +21,7 @@
 	}
 }
 
-// Event is what a round handles: [Begin], [Prepared] or [Accepted].
+// Event is an input of a round: [Begin], [Prepared] or [Accepted].
 type Event interface{ event() }
 
 // Begin starts the round.
@@ -43,26 +43,26 @@
 func (Prepared) event() {}
 func (Accepted) event() {}
 
-// Action is what a round wants done: [Prepare], [Accept], [Chosen] or [Lost].
+// Action is an output of a round: [Prepare], [Accept], [Chosen] or [Preempted].
 type Action interface{ action() }
 
-// Prepare carries a request to an acceptor.
+// Prepare requests that a prepare request be sent to an acceptor.
 type Prepare struct {
 	To      *fleetpb.Member
 	Request *fleetpb.PrepareRequest
 }
 
-// Accept carries a request to an acceptor.
+// Accept requests that an accept request be sent to an acceptor.
 type Accept struct {
 	To      *fleetpb.Member
 	Request *fleetpb.AcceptRequest
 }
 
-// Chosen says that a value is the register's; it ends the round.
+// Chosen reports the chosen value and ends the round.
 type Chosen struct{ State *fleetpb.State }
 
-// Lost says that a newer ballot was met; it ends the round. The value may come
-// to be chosen all the same if Proposed is true.
+// Preempted reports a newer ballot and ends the round. If Proposed is true, the value may still be
+// chosen.
 type Preempted struct {
 	By       *fleetpb.Ballot
 	Proposed bool
@@ -73,80 +73,81 @@
 func (Chosen) action()    {}
 func (Preempted) action() {}
 
-// Round is one change of the register under one ballot.
+// Round is one attempt to change the value under one ballot.
 type Round struct {
-	// Ballot is used by this round only.
+	// Ballot must not be used by any other round.
 	Ballot *fleetpb.Ballot
-	// Known is a value whose voters are asked first; it may be outdated.
+	// Known is a value whose voters are asked first. It may be outdated.
 	Known *fleetpb.State
-	// Seeds is used if no value is known: who answers at each address where the first value is
-	// voted on. One whom nobody has heard has no storage.
+	// Seeds are the members at the addresses at which the initial value is voted on, used if no
+	// value is known. A member that was not heard has no storage.
 	Seeds []*fleetpb.Member
-	// Change makes the next value. A round without one reads.
+	// Change computes the next value. A round without a change is a read.
 	Change Change
 
-	// asked holds the acceptors that a prepare went to.
-	asked []*fleetpb.Member
-	// promised holds the accepted ballot of each acceptor that granted.
-	promised map[uint64]*fleetpb.Ballot
-	// founders holds those of them whose storage is that of the very first start.
+	// prepareSent holds the acceptors that were sent a prepare request.
+	prepareSent []*fleetpb.Member
+	// acceptedBallots holds the accepted ballot of each acceptor that promised.
+	acceptedBallots map[uint64]*fleetpb.Ballot
+	// founders holds the acceptors that promised and are founders.
 	founders map[uint64]bool
-	// best is the newest accepted value met, under bestBallot.
-	best       *fleetpb.State
-	bestBallot *fleetpb.Ballot
-	// proposed is the value sent in accepts, nil before.
+	// newest is the accepted value with the highest ballot received, newestBallot.
+	newest       *fleetpb.State
+	newestBallot *fleetpb.Ballot
+	// proposed is the value sent in accept requests, or nil before.
 	proposed *fleetpb.State
 	accepted map[uint64]bool
 	done     bool
 }
 
-// Handle takes one event.
+// Handle processes an event and returns the resulting actions.
 func (r *Round) Handle(e Event) []Action {
 	if r.done {
 		return nil
 	}
 	switch e := e.(type) {
 	case Begin:
-		r.promised, r.founders, r.accepted = map[uint64]*fleetpb.Ballot{}, map[uint64]bool{}, map[uint64]bool{}
-		return r.prepare()
+		r.acceptedBallots, r.founders, r.accepted = map[uint64]*fleetpb.Ballot{}, map[uint64]bool{}, map[uint64]bool{}
+		return r.sendPrepares()
 	case Prepared:
-		return r.prepared(e)
+		return r.handlePrepared(e)
 	case Accepted:
-		return r.acceptedBy(e)
+		return r.handleAccepted(e)
 	}
 	return nil
 }
 
-// sets returns the sets of voters that a value needs majorities of.
-func sets(s *fleetpb.State) [][]*fleetpb.Member {
+// quorumSets returns the sets of voters that must each have a majority for a value.
+func quorumSets(s *fleetpb.State) [][]*fleetpb.Member {
 	if len(s.GetPriorVoters()) == 0 {
 		return [][]*fleetpb.Member{s.GetVoters()}
 	}
 	return [][]*fleetpb.Member{s.GetVoters(), s.GetPriorVoters()}
 }
 
-// electorate returns the sets that count under what has been met so far.
-func (r *Round) electorate() [][]*fleetpb.Member {
+// voterSets returns the sets of voters according to the newest known value.
+func (r *Round) voterSets() [][]*fleetpb.Member {
 	switch {
-	case r.best != nil:
-		return sets(r.best)
+	case r.newest != nil:
+		return quorumSets(r.newest)
 	case r.Known != nil:
-		return sets(r.Known)
+		return quorumSets(r.Known)
 	}
 	return [][]*fleetpb.Member{r.Seeds}
 }
 
-// suffice reports whether the acceptors that have a property are enough under what has been met so far.
-func (r *Round) suffice(has func(uint64) bool) bool {
-	if r.best != nil || r.Known != nil {
-		return majorities(r.electorate(), has)
+// hasQuorum reports whether the acceptors for which has returns true form a quorum.
+func (r *Round) hasQuorum(has func(uint64) bool) bool {
+	if r.newest != nil || r.Known != nil {
+		return hasMajorities(r.voterSets(), has)
 	}
-	return r.mayFound(has)
+	return r.hasInitialQuorum(has)
 }
 
-// mayFound reports whether acceptors are enough for the first value: founders at most of the seeds'
-// addresses, or, if too many have lost what they were, someone at each of them. See the package comment.
-func (r *Round) mayFound(has func(uint64) bool) bool {
+// hasInitialQuorum reports whether acceptors form a quorum for the initial value: either founders
+// at a majority of the seeds' addresses or any storages at all of them. See the package
+// documentation.
+func (r *Round) hasInitialQuorum(has func(uint64) bool) bool {
 	all, founders := 0, 0
 	for _, m := range r.Seeds {
 		if m.GetStorage() == 0 || !has(m.GetStorage()) {
@@ -160,77 +161,76 @@
 	return 2*founders > len(r.Seeds) || all == len(r.Seeds)
 }
 
-// prepare asks the voters that were not asked yet.
-func (r *Round) prepare() []Action {
+// sendPrepares sends prepare requests to the voters that have not received one.
+func (r *Round) sendPrepares() []Action {
 	var out []Action
-	for _, set := range r.electorate() {
+	for _, set := range r.voterSets() {
 		for _, m := range set {
-			if m.GetStorage() == 0 || ContainsStorage(r.asked, m.GetStorage()) {
+			if m.GetStorage() == 0 || ContainsStorage(r.prepareSent, m.GetStorage()) {
 				continue
 			}
-			r.asked = append(r.asked, m)
+			r.prepareSent = append(r.prepareSent, m)
 			out = append(out, Prepare{To: m, Request: &fleetpb.PrepareRequest{
-				Ballot: r.Ballot, Acceptor: m.GetStorage(), Seeds: r.seeds(),
+				Ballot: r.Ballot, Acceptor: m.GetStorage(), Seeds: r.seedAddresses(),
 			}})
 		}
 	}
 	return out
 }
 
-// seeds returns the seeds' addresses, if the round is about the first value.
-func (r *Round) seeds() []string {
+// seedAddresses returns the addresses of the seeds if the round concerns the initial value.
+func (r *Round) seedAddresses() []string {
 	if r.Known != nil {
 		return nil
 	}
 	return Addresses(r.Seeds)
 }
 
-func (r *Round) prepared(e Prepared) []Action {
+func (r *Round) handlePrepared(e Prepared) []Action {
 	if r.proposed != nil || e.Reply.GetSilent() {
 		return nil
 	}
 	if !e.Reply.GetGranted() {
-		return r.lost(e.Reply.GetPromised())
+		return r.preempt(e.Reply.GetPromised())
 	}
-	r.promised[e.From] = e.Reply.GetAccepted()
+	r.acceptedBallots[e.From] = e.Reply.GetAccepted()
 	r.founders[e.From] = e.Reply.GetFounder()
-	if e.Reply.GetState() != nil && (r.best == nil || CompareBallots(e.Reply.GetAccepted(), r.bestBallot) > 0) {
-		r.best, r.bestBallot = e.Reply.GetState(), e.Reply.GetAccepted()
+	if e.Reply.GetState() != nil && (r.newest == nil || CompareBallots(e.Reply.GetAccepted(), r.newestBallot) > 0) {
+		r.newest, r.newestBallot = e.Reply.GetState(), e.Reply.GetAccepted()
 	}
-	// A newer value may name voters that were not asked yet.
-	if more := r.prepare(); len(more) > 0 {
+	// The newer value may name voters that were not asked yet.
+	if more := r.sendPrepares(); len(more) > 0 {
 		return more
 	}
-	if !r.suffice(func(id uint64) bool { _, ok := r.promised[id]; return ok }) {
+	if !r.hasQuorum(func(id uint64) bool { _, ok := r.acceptedBallots[id]; return ok }) {
 		return nil
 	}
 	return r.propose()
 }
 
-// propose applies the change to the newest value and sends it to the voters of
-// both the old and the new value.
+// propose applies the change to the newest value and sends the result to the voters of both values.
 func (r *Round) propose() []Action {
-	current := r.best
+	current := r.newest
 	if current == nil {
 		current = &fleetpb.State{}
 	}
-	next := r.change(current)
+	next := r.nextState(current)
 	if next == nil {
-		if r.chosenAlready() {
-			return r.chosen(r.best)
+		if r.newestIsChosen() {
+			return r.choose(r.newest)
 		}
-		if r.best == nil {
+		if r.newest == nil {
 			r.done = true
 			return []Action{Chosen{State: current}}
 		}
-		next = r.best
+		next = r.newest
 	}
-	// A change of voters rests on the sets of the value before, which count for nothing until that
-	// value is chosen. It is brought to its end first, and the change is for another round.
-	if r.best != nil && !r.chosenAlready() && !sameSets(next, r.best) {
-		next = r.best
+	// Complete an unfinished value before changing voters: its voter sets are not valid until it is
+	// chosen. The change is then left to another round.
+	if r.newest != nil && !r.newestIsChosen() && !sameVoters(next, r.newest) {
+		next = r.newest
 	}
-	electorate := append(r.electorate(), sets(next)...)
+	electorate := append(r.voterSets(), quorumSets(next)...)
 	r.proposed = next
 	var out []Action
 	var sent []*fleetpb.Member
@@ -248,7 +248,7 @@
 	return out
 }
 
-func (r *Round) change(current *fleetpb.State) *fleetpb.State {
+func (r *Round) nextState(current *fleetpb.State) *fleetpb.State {
 	if r.Change == nil {
 		return nil
 	}
@@ -259,47 +259,47 @@
 	return next
 }
 
-// chosenAlready reports whether the promises show that the newest value has its
-// majorities under its own ballot.
-func (r *Round) chosenAlready() bool {
-	return r.best != nil && majorities(sets(r.best), func(id uint64) bool {
-		b, ok := r.promised[id]
-		return ok && CompareBallots(b, r.bestBallot) == 0
+// newestIsChosen reports whether the promises prove that the newest value is chosen under its
+// ballot.
+func (r *Round) newestIsChosen() bool {
+	return r.newest != nil && hasMajorities(quorumSets(r.newest), func(id uint64) bool {
+		b, ok := r.acceptedBallots[id]
+		return ok && CompareBallots(b, r.newestBallot) == 0
 	})
 }
 
-func (r *Round) acceptedBy(e Accepted) []Action {
+func (r *Round) handleAccepted(e Accepted) []Action {
 	if r.proposed == nil || e.Reply.GetSilent() {
 		return nil
 	}
 	if !e.Reply.GetGranted() {
-		return r.lost(e.Reply.GetPromised())
+		return r.preempt(e.Reply.GetPromised())
 	}
 	r.accepted[e.From] = true
 	has := func(id uint64) bool { return r.accepted[id] }
-	if !r.suffice(has) || !majorities(sets(r.proposed), has) {
+	if !r.hasQuorum(has) || !hasMajorities(quorumSets(r.proposed), has) {
 		return nil
 	}
-	return r.chosen(r.proposed)
+	return r.choose(r.proposed)
 }
 
-func (r *Round) chosen(s *fleetpb.State) []Action {
+func (r *Round) choose(s *fleetpb.State) []Action {
 	r.done = true
 	return []Action{Chosen{State: s}}
 }
 
-func (r *Round) lost(to *fleetpb.Ballot) []Action {
+func (r *Round) preempt(to *fleetpb.Ballot) []Action {
 	r.done = true
 	return []Action{Preempted{By: to, Proposed: r.proposed != nil}}
 }
 
-// sameSets reports whether two values have the same voters.
-func sameSets(a, b *fleetpb.State) bool {
+// sameVoters reports whether two values have the same voters and prior voters.
+func sameVoters(a, b *fleetpb.State) bool {
 	return SameMembers(a.GetVoters(), b.GetVoters()) && SameMembers(a.GetPriorVoters(), b.GetPriorVoters())
 }
 
-// majorities reports whether more than half of each set has a property.
-func majorities(sets [][]*fleetpb.Member, has func(uint64) bool) bool {
+// hasMajorities reports whether has returns true for more than half of each set.
+func hasMajorities(sets [][]*fleetpb.Member, has func(uint64) bool) bool {
 	for _, set := range sets {
 		n := 0
 		for _, m := range set {
