--- a/rockbarrow/relay/doc.go
+++ b/rockbarrow/relay/doc.go
@@ -1,25 +1,29 @@
 // SPDX-License-Identifier: MIT
 
-// Package relay lets every control instance know all entry and store instances although each of these calls only a few.
+// Package relay distributes knowledge about entry and store instances among control instances, so
+// that each of them knows all instances although each instance calls only a few control instances.
 //
-// An instance follows a few control instances: it calls each of them several times a second. A control instance passes
-// on to every other one what its followers report: who is there ([Fleet]), the calls that they have under way, and the
-// calls that ended. So the calls at a control instance grow with its own followers and with the number of control
-// instances, and not with the whole deployment; a follower's calls do not grow at all.
+// An instance follows a few control instances by calling each of them several times a second. A
+// control instance relays to every other control instance what its followers report: which
+// instances are present ([Fleet]), their running calls, and the calls that have ended ([Reports]).
+// The load on a control instance thus grows with its own followers and the number of control
+// instances rather than with the size of the deployment.
 //
-// Messages are numbered differences. The receiver acknowledges a sequence number of the sender's process, and the next
-// message holds what changed since. A receiver that knows another process, or nothing, acknowledges zero and gets a
-// snapshot. A message whose base the receiver does not have changes nothing.
+// Messages are numbered deltas. The receiver acknowledges a sequence number of the sending process,
+// and the next message contains what has changed since. A receiver that knows a different process,
+// or none, acknowledges zero and receives a snapshot. A message whose base the receiver does not
+// have is ignored.
 //
-// What holds, so that a relay makes nothing believed for longer:
+// Relaying must not make an instance appear present for longer than it is:
 //
-//   - A follower that calls at its usual interval is relayed without a time, and counts as heard when the relay's message
-//     was received: at most [calmWithin] and the relay's own interval too late. Once it is silent for longer, its silence
-//     is relayed in milliseconds, and the error ends.
-//   - A relay that is not heard any more refreshes nobody: its followers count as heard when its last message came.
-//     They follow other control instances too, and whichever heard them last counts.
-//   - A call that ended is counted once by each receiver: reports carry the sequence in which they came, and those up to the
+//   - A follower that calls at its regular interval is relayed without a time, and counts as heard
+//     when the message was received, which is at most [silenceThreshold] plus the sender's interval
+//     too late. Once it is silent for longer, the duration of its silence is relayed, which removes
+//     the error.
+//   - The followers of a silent control instance count as heard when its last message was received.
+//     They also follow other control instances, and the latest time counts.
+//   - Each receiver counts an ended call once: reports carry sequence numbers, and those up to the
 //     acknowledged one are skipped.
-//   - What leases and quotas rest on is not relayed: control instances confirm configurations by calls of their own, and
-//     entry instances with customers call every control instance.
+//   - Nothing that leases and quotas depend on is relayed: control instances confirm configurations
+//     by calls among themselves, and entry instances with customers call every control instance.
 package relay
--- a/rockbarrow/relay/fleet.go
+++ b/rockbarrow/relay/fleet.go
@@ -11,41 +11,42 @@
 	"rockbarrow.dev/schema/fleetpb"
 )
 
-// Instance is an entry or store instance as a control instance knows it.
+// Instance is an entry or store instance known to a control instance.
 type Instance struct {
 	Member *fleetpb.Member
 	Role   fleetpb.Role
-	// Heard is when it called last, whichever control instance it called.
+	// LastHeard is when it last called any control instance.
 	LastHeard time.Time
-	// Copied is the newest view whose records a store holds.
+	// CopiedEpoch is the newest view whose records a store holds.
 	CopiedEpoch uint64
-	// Serves is true if an entry instance takes requests.
+	// Serves reports whether an entry instance accepts requests.
 	Serves bool
 }
 
-// Fleet is the instances that a control instance knows, by its own followers and by those of others. The zero value is
-// ready.
+// Fleet holds the instances known to a control instance, both its own followers and relayed ones.
+// The zero value is ready to use.
 type Fleet struct {
 	mu     sync.Mutex
 	direct map[string]*Instance
-	relays map[string]*relayed
+	relays map[string]*relayState
 }
 
-// relayed is what one other control instance has passed on.
-type relayed struct {
+// relayState is the state relayed by another control instance.
+type relayState struct {
 	process, sequence uint64
-	// heard is when its last message was received.
-	heard     time.Time
+	// lastHeard is when its last message was received.
+	lastHeard time.Time
 	followers map[string]*relayedFollower
 }
 
 type relayedFollower struct {
 	Instance
-	// calm is true while it calls at its usual interval: it was heard when its relay was.
-	calm bool
+	// regular is true while the follower calls at its regular interval; it then counts as heard
+	// when the relaying control instance was.
+	regular bool
 }
 
-// Receive takes a call of an entry or store instance.
+// RecordCall records a call of an entry or store instance.
 func (f *Fleet) RecordCall(now time.Time, req *fleetpb.WatchRequest) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -57,21 +58,21 @@
 	}
 }
 
-// Take takes a message of another control instance. It returns the sequence to acknowledge, zero if a snapshot is needed,
-// and the ended calls that were not taken before.
+// ApplyRelayed applies a message of another control instance. It returns the sequence number to
+// acknowledge, zero if a snapshot is needed, and the ended calls that are new.
 func (f *Fleet) ApplyRelayed(now time.Time, from string, m *fleetpb.Relayed) (acknowledged uint64, ended []*fleetpb.EndpointUse) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.relays == nil {
-		f.relays = map[string]*relayed{}
+		f.relays = map[string]*relayState{}
 	}
 	r := f.relays[from]
 	if r != nil && r.process == m.GetProcess() && m.GetSequence() < r.sequence {
-		// An older message came late.
+		// The message was overtaken by a newer one.
 		return r.sequence, nil
 	}
 	if m.GetSince() == 0 {
-		r = &relayed{process: m.GetProcess(), followers: map[string]*relayedFollower{}}
+		r = &relayState{process: m.GetProcess(), followers: map[string]*relayedFollower{}}
 		f.relays[from] = r
 	} else if r == nil || r.process != m.GetProcess() || m.GetSince() > r.sequence {
 		return 0, nil
@@ -81,15 +82,15 @@
 			ended = append(ended, e.GetUses()...)
 		}
 	}
-	r.take(now, m)
+	r.apply(now, m)
 	return r.sequence, ended
 }
 
-// take applies a message that is no older than the last one.
-func (r *relayed) take(now time.Time, m *fleetpb.Relayed) {
-	r.sequence, r.heard = m.GetSequence(), now
+// apply applies a message that is not older than the last one.
+func (r *relayState) apply(now time.Time, m *fleetpb.Relayed) {
+	r.sequence, r.lastHeard = m.GetSequence(), now
 	for _, u := range m.GetFollowers() {
-		r.followers[u.GetMember().GetInstance()] = &relayedFollower{calm: u.GetSilentMs() == 0, Instance: Instance{
+		r.followers[u.GetMember().GetInstance()] = &relayedFollower{regular: u.GetSilentMs() == 0, Instance: Instance{
 			Member: u.GetMember(), Role: u.GetRole(), CopiedEpoch: u.GetCopiedEpoch(), Serves: u.GetServes(),
 			LastHeard: now.Add(-time.Duration(u.GetSilentMs()) * time.Millisecond),
 		}}
@@ -99,7 +100,7 @@
 	}
 }
 
-// Instances returns the instances of a role that were heard within a time, by name.
+// Instances returns the instances of a role that were heard within the given time, sorted by name.
 func (f *Fleet) Instances(now time.Time, role fleetpb.Role, within time.Duration) []Instance {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -126,8 +127,8 @@
 	for _, r := range f.relays {
 		for _, u := range r.followers {
 			i := u.Instance
-			if u.calm {
-				i.LastHeard = r.heard
+			if u.regular {
+				i.LastHeard = r.lastHeard
 			}
 			merge(i)
 		}
@@ -140,23 +141,23 @@
 	return out
 }
 
-// Forget drops instances and relays that were not heard for long.
+// Expire drops instances and control instances that have been silent for too long.
 func (f *Fleet) Expire(now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for name, i := range f.direct {
-		if now.Sub(i.LastHeard) > forgetAfter {
+		if now.Sub(i.LastHeard) > expireAfter {
 			delete(f.direct, name)
 		}
 	}
 	for name, r := range f.relays {
-		if now.Sub(r.heard) > forgetAfter {
+		if now.Sub(r.lastHeard) > expireAfter {
 			delete(f.relays, name)
 		}
 	}
 }
 
-// Refresh counts all instances as heard now, after this process was stopped for a while.
+// MarkAllHeard treats all instances as heard now, after this process was stalled.
 func (f *Fleet) MarkAllHeard(now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -164,7 +165,7 @@
 		i.LastHeard = now
 	}
 	for _, r := range f.relays {
-		r.heard = now
+		r.lastHeard = now
 		for _, u := range r.followers {
 			u.LastHeard = now
 		}
--- a/rockbarrow/relay/reports.go
+++ b/rockbarrow/relay/reports.go
@@ -11,79 +11,83 @@
 )
 
 const (
-	// calmWithin is how lately a follower must have called to be relayed without a time: two of its calls.
-	calmWithin = 700 * time.Millisecond
-	// forgetAfter is how long a follower is silent until it is forgotten.
-	forgetAfter = time.Minute
-	// endedFor is how long ended calls are kept for receivers that do not answer. Their weight halves in that time.
-	endedFor = 2 * time.Second
-	// lookEvery is how often followers are looked through for those that fell silent.
-	lookEvery = 100 * time.Millisecond
+	// silenceThreshold is how long a follower may be silent before its silence is relayed; it spans
+	// two calls.
+	silenceThreshold = 700 * time.Millisecond
+	// expireAfter is how long a silent follower is remembered.
+	expireAfter = time.Minute
+	// endedRetention is how long ended calls are kept for receivers that do not acknowledge them.
+	// Their weight halves in that time.
+	endedRetention = 2 * time.Second
+	// scanInterval is the interval between scans for silent followers.
+	scanInterval = 100 * time.Millisecond
 )
 
-// Reports is what a control instance hears from its followers, in the form in which it is relayed. The zero value is ready.
+// Reports collects the reports of a control instance's followers for relaying. The zero value is
+// ready to use.
 type Reports struct {
 	mu sync.Mutex
-	// process names the process to receivers.
-	process uint64
-	// sequence is that of the newest change.
+	// processID identifies this process to receivers.
+	processID uint64
+	// sequence is the number of the newest change.
 	sequence  uint64
 	followers map[string]*follower
-	// left holds the sequence in which an instance was forgotten.
-	left  map[string]uint64
-	ended []endedCalls
-	// looked is when followers were looked through last.
-	looked time.Time
+	// removed maps the names of forgotten instances to the sequence numbers of their removal.
+	removed map[string]uint64
+	ended   []endedCalls
+	// lastScan is when followers were last scanned for silence.
+	lastScan time.Time
 }
 
 type follower struct {
-	member *fleetpb.Member
-	role   fleetpb.Role
-	copied uint64
-	serves bool
-	heard  time.Time
-	// silent is true once silence has been relayed.
+	member      *fleetpb.Member
+	role        fleetpb.Role
+	copiedEpoch uint64
+	serves      bool
+	lastHeard   time.Time
+	// silent is set once the follower's silence is being relayed.
 	silent bool
-	// changed is the sequence of the last change.
+	// changed is the sequence number of the last change.
 	changed uint64
 }
 
-// endedCalls are those of one report.
+// endedCalls are the ended calls of one report.
 type endedCalls struct {
 	at       time.Time
 	sequence uint64
 	uses     []*fleetpb.EndpointUse
 }
 
-// Receive takes a call of an entry or store instance. Ended calls are relayed if the sender reports to this instance alone.
+// RecordCall records a call of an entry or store instance. Its ended calls are relayed if the
+// sender reports to this control instance alone.
 func (r *Reports) RecordCall(now time.Time, req *fleetpb.WatchRequest) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.begin()
+	r.initialize()
 	name := req.GetSender().GetInstance()
 	f := r.followers[name]
 	if f == nil {
 		f = &follower{}
 		r.followers[name] = f
-		delete(r.left, name)
+		delete(r.removed, name)
 	}
-	if !sameMember(f.member, req.GetSender()) || f.role != req.GetRole() || f.copied != req.GetCopiedEpoch() || f.serves != req.GetServes() || f.silent {
+	if !sameMember(f.member, req.GetSender()) || f.role != req.GetRole() || f.copiedEpoch != req.GetCopiedEpoch() || f.serves != req.GetServes() || f.silent {
 		r.sequence++
 		f.changed = r.sequence
 	}
-	f.member, f.role, f.copied, f.serves = req.GetSender(), req.GetRole(), req.GetCopiedEpoch(), req.GetServes()
-	f.heard, f.silent = now, false
+	f.member, f.role, f.copiedEpoch, f.serves = req.GetSender(), req.GetRole(), req.GetCopiedEpoch(), req.GetServes()
+	f.lastHeard, f.silent = now, false
 	if req.GetCompact() {
-		r.end(now, req.GetUses())
+		r.addEnded(now, req.GetUses())
 	}
 }
 
-// begin draws the name of the process; the caller holds mu.
-func (r *Reports) begin() {
+// initialize assigns the process id on first use; the caller holds mu.
+func (r *Reports) initialize() {
 	if r.followers == nil {
-		// No change has the sequence zero, which asks for a snapshot.
-		r.process, r.sequence = rand.Uint64(), 1
-		r.followers, r.left = map[string]*follower{}, map[string]uint64{}
+		// Sequence numbers start above zero, which requests a snapshot.
+		r.processID, r.sequence = rand.Uint64(), 1
+		r.followers, r.removed = map[string]*follower{}, map[string]uint64{}
 	}
 }
 
@@ -92,8 +96,8 @@
 		a.GetFailureDomain() == b.GetFailureDomain() && a.GetAddress() == b.GetAddress()
 }
 
-// end notes ended calls; the caller holds mu.
-func (r *Reports) end(now time.Time, uses []*fleetpb.EndpointUse) {
+// addEnded records ended calls; the caller holds mu.
+func (r *Reports) addEnded(now time.Time, uses []*fleetpb.EndpointUse) {
 	var ended []*fleetpb.EndpointUse
 	for _, u := range uses {
 		if u.GetAnswered() > 0 || u.GetFailed() > 0 || u.GetLost() > 0 {
@@ -109,23 +113,23 @@
 	r.ended = append(r.ended, endedCalls{at: now, sequence: r.sequence, uses: ended})
 }
 
-// Since returns what a receiver lacks that has acknowledged a sequence, zero for a snapshot. Running are the calls under
-// way of the followers.
+// Since returns the changes after an acknowledged sequence number, or a snapshot if it is zero.
+// Running are the running calls of the followers.
 func (r *Reports) Since(now time.Time, acknowledged uint64, running []*fleetpb.EndpointUse) *fleetpb.Relayed {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.begin()
-	r.look(now)
-	out := &fleetpb.Relayed{Process: r.process, Since: acknowledged, Sequence: r.sequence, Running: running}
+	r.initialize()
+	r.scan(now)
+	out := &fleetpb.Relayed{Process: r.processID, Since: acknowledged, Sequence: r.sequence, Running: running}
 	for _, f := range r.followers {
 		if f.changed > acknowledged {
-			out.Followers = append(out.Followers, f.message(now))
+			out.Followers = append(out.Followers, f.toMessage(now))
 		}
 	}
 	if acknowledged == 0 {
 		return out
 	}
-	for name, sequence := range r.left {
+	for name, sequence := range r.removed {
 		if sequence > acknowledged {
 			out.Left = append(out.Left, name)
 		}
@@ -138,42 +142,42 @@
 	return out
 }
 
-func (f *follower) message(now time.Time) *fleetpb.Follower {
-	out := &fleetpb.Follower{Member: f.member, Role: f.role, CopiedEpoch: f.copied, Serves: f.serves}
+func (f *follower) toMessage(now time.Time) *fleetpb.Follower {
+	out := &fleetpb.Follower{Member: f.member, Role: f.role, CopiedEpoch: f.copiedEpoch, Serves: f.serves}
 	if f.silent {
-		out.SilentMs = uint32(max(1, now.Sub(f.heard).Milliseconds()))
+		out.SilentMs = uint32(max(1, now.Sub(f.lastHeard).Milliseconds()))
 	}
 	return out
 }
 
-// look notes who fell silent and forgets what is old; the caller holds mu.
-func (r *Reports) look(now time.Time) {
-	if now.Sub(r.looked) < lookEvery {
+// scan marks silent followers and drops expired data; the caller holds mu.
+func (r *Reports) scan(now time.Time) {
+	if now.Sub(r.lastScan) < scanInterval {
 		return
 	}
-	r.looked = now
+	r.lastScan = now
 	for name, f := range r.followers {
-		silence := now.Sub(f.heard)
-		if silence > forgetAfter {
+		silence := now.Sub(f.lastHeard)
+		if silence > expireAfter {
 			delete(r.followers, name)
 			r.sequence++
-			r.left[name] = r.sequence
-		} else if silence > calmWithin && !f.silent {
+			r.removed[name] = r.sequence
+		} else if silence > silenceThreshold && !f.silent {
 			f.silent = true
 			r.sequence++
 			f.changed = r.sequence
 		}
 	}
-	for len(r.ended) > 0 && now.Sub(r.ended[0].at) > endedFor {
+	for len(r.ended) > 0 && now.Sub(r.ended[0].at) > endedRetention {
 		r.ended = r.ended[1:]
 	}
 }
 
-// Refresh counts all followers as heard now, after this process was stopped for a while.
+// MarkAllHeard treats all followers as heard now, after this process was stalled.
 func (r *Reports) MarkAllHeard(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, f := range r.followers {
-		f.heard = now
+		f.lastHeard = now
 	}
 }
