--- a/rockbarrow/catalog/catalog_test.go
+++ b/rockbarrow/catalog/catalog_test.go
@@ -14,21 +14,21 @@
 	"rockbarrow.dev/schema/fleetpb"
 )
 
-// listOf is a list of n endpoints.
-func listOf(n int) *List {
+// newTestList returns a list of n endpoints.
+func newTestList(n int) *List {
 	l := &fleetpb.EndpointList{Number: 1}
 	for i := range n {
-		l.Endpoints = append(l.Endpoints, endpoint(i))
+		l.Endpoints = append(l.Endpoints, testEndpoint(i))
 	}
 	return New(l)
 }
 
-func endpoint(i int) *fleetpb.Endpoint {
+func testEndpoint(i int) *fleetpb.Endpoint {
 	return &fleetpb.Endpoint{Id: fmt.Sprintf("e%05d", i), Service: "s", Address: fmt.Sprint("10.0.0.", i), FailureDomain: "a", Slots: 6}
 }
 
-// with returns a list with some of its endpoints replaced, removed (nil) or added.
-func with(l *List, number uint64, changed map[string]*fleetpb.Endpoint) *List {
+// replaceEndpoints returns a list with the given endpoints replaced, removed (nil) or added.
+func replaceEndpoints(l *List, number uint64, changed map[string]*fleetpb.Endpoint) *List {
 	out := &fleetpb.EndpointList{Number: number}
 	for _, e := range l.List().GetEndpoints() {
 		if _, ok := changed[e.GetId()]; !ok {
@@ -43,12 +43,12 @@
 	return New(out)
 }
 
-// TestAChangeCostsWhatChanged: each new list was sent, unpacked and indexed as a whole, at every instance.
+// The cost of a change must not depend on the length of the list.
 func TestAChangeCostsWhatChanged(t *testing.T) {
 	var sizes []int
 	for _, n := range []int{1000, 2000} {
-		from := listOf(n)
-		to := with(from, 2, map[string]*fleetpb.Endpoint{
+		from := newTestList(n)
+		to := replaceEndpoints(from, 2, map[string]*fleetpb.Endpoint{
 			"e00003": {Id: "e00003", Draining: true}, "e00007": nil, "e99999": {Id: "e99999"},
 		})
 		c := Diff(from, to)
@@ -70,18 +70,18 @@
 		}
 	}
 	if sizes[0] != sizes[1] {
-		t.Errorf("a change takes %d and %d bytes in lists of 1,000 and 2,000", sizes[0], sizes[1])
+		t.Errorf("a change takes %d and %d bytes in lists of 1,000 and 2,000 endpoints", sizes[0], sizes[1])
 	}
 }
 
-// TestAnyChangeLeadsToItsList draws pairs of lists.
+// Changes and snapshots between random lists must produce the intended list.
 func TestAnyChangeLeadsToItsList(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
 	draw := func() *List {
 		l := &fleetpb.EndpointList{Number: r.Uint64()}
 		for i := range 40 {
 			if r.IntN(3) > 0 {
-				e := endpoint(i)
+				e := testEndpoint(i)
 				e.Slots, e.BornMs = uint32(r.IntN(2)), uint64(r.IntN(2))
 				l.Endpoints = append(l.Endpoints, e)
 			}
@@ -105,18 +105,18 @@
 	}
 }
 
-// TestAWrongChangeChangesNothing: of another list, damaged, not ordered, or of endpoints that are not there.
+// Changes that are damaged, unsorted or based on a different list must be rejected.
 func TestAWrongChangeChangesNothing(t *testing.T) {
-	from := listOf(10)
+	from := newTestList(10)
 	change := func(wrong func(*fleetpb.ListChange)) *fleetpb.ListChange {
-		c := proto.CloneOf(Diff(from, with(from, 2, map[string]*fleetpb.Endpoint{
+		c := proto.CloneOf(Diff(from, replaceEndpoints(from, 2, map[string]*fleetpb.Endpoint{
 			"e00001": {Id: "e00001"}, "e00002": {Id: "e00002"}, "e00003": nil,
 		})))
 		wrong(c)
 		return c
 	}
-	// Its sum is right: only the order tells it.
-	added := Diff(from, with(from, 2, map[string]*fleetpb.Endpoint{"y": {Id: "y"}, "z": {Id: "z"}}))
+	// The checksum of this change is correct; only the order is wrong.
+	added := Diff(from, replaceEndpoints(from, 2, map[string]*fleetpb.Endpoint{"y": {Id: "y"}, "z": {Id: "z"}}))
 	slices.Reverse(added.Changed)
 	var base *BaseError
 	var sum *ChecksumError
@@ -125,14 +125,14 @@
 		change *fleetpb.ListChange
 		as     any
 	}{
-		{"another base", change(func(c *fleetpb.ListChange) { c.BaseSum++ }), &base},
-		{"another result", change(func(c *fleetpb.ListChange) { c.Sum++ }), &sum},
-		{"a damaged endpoint", change(func(c *fleetpb.ListChange) { c.Changed[0].Slots++ }), &sum},
-		{"nothing to remove", change(func(c *fleetpb.ListChange) { c.Removed[0] = "e00003x" }), &sum},
-		{"new ones out of order", added, nil},
+		{"wrong base", change(func(c *fleetpb.ListChange) { c.BaseSum++ }), &base},
+		{"wrong result", change(func(c *fleetpb.ListChange) { c.Sum++ }), &sum},
+		{"damaged endpoint", change(func(c *fleetpb.ListChange) { c.Changed[0].Slots++ }), &sum},
+		{"removal of an unknown endpoint", change(func(c *fleetpb.ListChange) { c.Removed[0] = "e00003x" }), &sum},
+		{"added endpoints out of order", added, nil},
 		{"out of order", change(func(c *fleetpb.ListChange) { slices.Reverse(c.Changed) }), nil},
-		{"twice the same", change(func(c *fleetpb.ListChange) { c.Changed = append(c.Changed[:1], c.Changed[0]) }), nil},
-		{"no frame", change(func(c *fleetpb.ListChange) { c.Whole = []byte("x") }), nil},
+		{"duplicate endpoint", change(func(c *fleetpb.ListChange) { c.Changed = append(c.Changed[:1], c.Changed[0]) }), nil},
+		{"invalid snapshot", change(func(c *fleetpb.ListChange) { c.Whole = []byte("x") }), nil},
 	}
 	for _, test := range tests {
 		got, err := Apply(from, test.change)
@@ -140,42 +140,42 @@
 			t.Errorf("%s: %v", test.name, err)
 		}
 	}
-	if !Equal(from, listOf(10)) {
-		t.Error("the list that was held has changed")
+	if !Equal(from, newTestList(10)) {
+		t.Error("the held list was modified")
 	}
 }
 
-// TestManyReceiversShareOneChange: hundreds hold the same list when a new one comes.
+// A change must be computed once for all receivers that hold the same list.
 func TestManyReceiversShareOneChange(t *testing.T) {
 	var h History
-	first := listOf(100)
-	second := with(first, 2, map[string]*fleetpb.Endpoint{"e00005": nil})
+	first := newTestList(100)
+	second := replaceEndpoints(first, 2, map[string]*fleetpb.Endpoint{"e00005": nil})
 	h.Add(first)
 	change, err := h.ChangeFrom(first.Checksum(), second)
 	if err != nil || len(change.GetRemoved()) != 1 {
 		t.Fatalf("%v, %v", change, err)
 	}
 	if again, _ := h.ChangeFrom(first.Checksum(), second); again != change {
-		t.Error("the change was made twice")
+		t.Error("the change was computed twice")
 	}
 	for _, held := range []uint64{0, 12345} {
 		whole, err := h.ChangeFrom(held, second)
 		if err != nil || len(whole.GetWhole()) == 0 {
-			t.Errorf("a receiver of an unknown list gets %v, %v", whole, err)
+			t.Errorf("change from an unknown list: %v, %v", whole, err)
 		}
 	}
-	for i := range 3 * remembered {
-		h.Add(with(second, uint64(i+3), map[string]*fleetpb.Endpoint{"e00006": {Id: "e00006", Slots: uint32(i)}}))
+	for i := range 3 * maxVersions {
+		h.Add(replaceEndpoints(second, uint64(i+3), map[string]*fleetpb.Endpoint{"e00006": {Id: "e00006", Slots: uint32(i)}}))
 	}
-	if len(h.lists) != remembered {
+	if len(h.lists) != maxVersions {
 		t.Errorf("%d lists are kept", len(h.lists))
 	}
 }
 
 func FuzzApply(f *testing.F) {
-	from := listOf(5)
+	from := newTestList(5)
 	for _, changed := range []map[string]*fleetpb.Endpoint{{"e00001": nil}, {"e00002": {Id: "e00002", Draining: true}}, {"x": {Id: "x"}}} {
-		b, err := proto.Marshal(Diff(from, with(from, 2, changed)))
+		b, err := proto.Marshal(Diff(from, replaceEndpoints(from, 2, changed)))
 		if err != nil {
 			f.Fatal(err)
 		}
@@ -200,22 +200,22 @@
 			return
 		}
 		endpoints := got.List().GetEndpoints()
-		if !slices.IsSortedFunc(endpoints, byID) || hasDuplicates(endpoints) || New(got.List()).Checksum() != c.GetSum() {
-			t.Error("a list was made that is not the one that was named")
+		if !slices.IsSortedFunc(endpoints, compareIDs) || hasDuplicates(endpoints) || New(got.List()).Checksum() != c.GetSum() {
+			t.Error("the result does not match its checksum")
 		}
 	})
 }
 
-// BenchmarkApply is the work for a list in which 80 endpoints have changed.
+// BenchmarkApply measures applying a change of 80 endpoints.
 func BenchmarkApply(b *testing.B) {
 	for _, n := range []int{1000, 10000} {
-		from := listOf(n)
+		from := newTestList(n)
 		changed := map[string]*fleetpb.Endpoint{}
 		for i := range 80 {
 			id := fmt.Sprintf("e%05d", i*7)
 			changed[id] = &fleetpb.Endpoint{Id: id, Draining: true}
 		}
-		c := Diff(from, with(from, 2, changed))
+		c := Diff(from, replaceEndpoints(from, 2, changed))
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			for b.Loop() {
 				if _, err := Apply(from, c); err != nil {
--- a/rockbarrow/catalog/history.go
+++ b/rockbarrow/catalog/history.go
@@ -8,61 +8,63 @@
 	"rockbarrow.dev/schema/fleetpb"
 )
 
-// remembered is how many versions a history keeps for receivers that lag. They share most of their endpoints.
-const remembered = 16
+// maxVersions is the number of versions kept for receivers that lag behind. They share most of
+// their endpoints.
+const maxVersions = 16
 
-// History remembers the newest versions and makes each change between them once, however many receivers need it. The
-// zero value is ready.
+// History keeps the newest versions and computes each change between them once for all receivers.
+// The zero value is ready to use.
 type History struct {
 	mu sync.Mutex
-	// lists are in the order in which they came, the newest last.
+	// lists are in the order in which they were added.
 	lists []*List
-	// changes lead to the newest list, by the checksum of their base; whole is that list by itself.
-	changes map[uint64]*fleetpb.ListChange
-	whole   *fleetpb.ListChange
+	// diffs are the changes to the newest list by the checksums of their bases; snapshot is the
+	// newest list as a whole.
+	diffs    map[uint64]*fleetpb.ListChange
+	snapshot *fleetpb.ListChange
 }
 
-// Add makes a list the newest.
+// Add makes l the newest version.
 func (h *History) Add(l *List) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.add(l)
 }
 
-// add makes a list the newest; the caller holds mu.
+// add makes l the newest version; the caller holds mu.
 func (h *History) add(l *List) {
 	if n := len(h.lists); n > 0 && h.lists[n-1] == l {
 		return
 	}
 	h.lists = append(h.lists, l)
-	if len(h.lists) > remembered {
-		h.lists = append([]*List(nil), h.lists[len(h.lists)-remembered:]...)
+	if len(h.lists) > maxVersions {
+		h.lists = append([]*List(nil), h.lists[len(h.lists)-maxVersions:]...)
 	}
-	h.changes, h.whole = map[uint64]*fleetpb.ListChange{}, nil
+	h.diffs, h.snapshot = map[uint64]*fleetpb.ListChange{}, nil
 }
 
-// Change returns what leads a receiver to l, which becomes the newest list: from the one with the checksum that it holds,
-// or from nothing.
+// ChangeFrom makes l the newest version and returns the change to it from the list with the given
+// checksum, or a snapshot if that list is not known.
 func (h *History) ChangeFrom(held uint64, l *List) (*fleetpb.ListChange, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.add(l)
-	if c := h.changes[held]; c != nil {
+	if c := h.diffs[held]; c != nil {
 		return c, nil
 	}
 	for _, base := range h.lists {
 		if held != 0 && base.Checksum() == held {
 			c := Diff(base, l)
-			h.changes[held] = c
+			h.diffs[held] = c
 			return c, nil
 		}
 	}
-	if h.whole == nil {
+	if h.snapshot == nil {
 		whole, err := Snapshot(l)
 		if err != nil {
 			return nil, err
 		}
-		h.whole = whole
+		h.snapshot = whole
 	}
-	return h.whole, nil
+	return h.snapshot, nil
 }
--- a/rockbarrow/catalog/list.go
+++ b/rockbarrow/catalog/list.go
@@ -14,30 +14,31 @@
 
 // List is one version of the list of endpoints.
 type List struct {
-	// list is ordered by id without duplicates.
+	// list is sorted by id and has no duplicates.
 	list *fleetpb.EndpointList
-	// sum is the sum of the checksums of all endpoints.
-	sum uint64
+	// checksum is the sum of the checksums of all endpoints.
+	checksum uint64
 }
 
-// New makes a list of endpoints in any order. Of two with one id the first one counts.
+// New returns a list of endpoints given in any order. The first of several endpoints with the same
+// id is used.
 func New(l *fleetpb.EndpointList) *List {
 	endpoints := l.GetEndpoints()
-	if !slices.IsSortedFunc(endpoints, byID) {
+	if !slices.IsSortedFunc(endpoints, compareIDs) {
 		endpoints = slices.Clone(endpoints)
-		slices.SortStableFunc(endpoints, byID)
+		slices.SortStableFunc(endpoints, compareIDs)
 	}
 	if hasDuplicates(endpoints) {
 		endpoints = slices.CompactFunc(slices.Clone(endpoints), func(a, b *fleetpb.Endpoint) bool { return a.GetId() == b.GetId() })
 	}
 	out := &List{list: &fleetpb.EndpointList{Number: l.GetNumber(), Endpoints: endpoints, Calls: l.GetCalls()}}
 	for _, e := range endpoints {
-		out.sum += checksum(e)
+		out.checksum += endpointChecksum(e)
 	}
 	return out
 }
 
-func byID(a, b *fleetpb.Endpoint) int { return strings.Compare(a.GetId(), b.GetId()) }
+func compareIDs(a, b *fleetpb.Endpoint) int { return strings.Compare(a.GetId(), b.GetId()) }
 
 func hasDuplicates(sorted []*fleetpb.Endpoint) bool {
 	for i := 1; i < len(sorted); i++ {
@@ -48,7 +49,7 @@
 	return false
 }
 
-// List returns the list in the form of messages, nil if l is nil.
+// List returns the list as a message, or nil if l is nil.
 func (l *List) List() *fleetpb.EndpointList {
 	if l == nil {
 		return nil
@@ -56,26 +57,26 @@
 	return l.list
 }
 
-// Number returns the number of the version, zero if l is nil.
+// Number returns the number of the version, or zero if l is nil.
 func (l *List) Number() uint64 { return l.List().GetNumber() }
 
-// Sum returns the checksum, zero if l is nil.
+// Checksum returns the checksum, or zero if l is nil.
 func (l *List) Checksum() uint64 {
 	if l == nil {
 		return 0
 	}
-	return l.sum
+	return l.checksum
 }
 
-// Index returns the position of an endpoint.
+// Index returns the index of an endpoint and whether it was found.
 func (l *List) Index(id string) (int, bool) {
 	return slices.BinarySearchFunc(l.List().GetEndpoints(), id, func(e *fleetpb.Endpoint, id string) int {
 		return strings.Compare(e.GetId(), id)
 	})
 }
 
-// checksum covers all fields of an endpoint.
-func checksum(e *fleetpb.Endpoint) uint64 {
+// endpointChecksum returns a checksum of all fields of an endpoint.
+func endpointChecksum(e *fleetpb.Endpoint) uint64 {
 	var h xxhash.Digest
 	h.Reset()
 	for _, s := range []string{e.GetId(), e.GetService(), e.GetAddress(), e.GetFailureDomain()} {
@@ -94,15 +95,15 @@
 	return h.Sum64()
 }
 
-// equal reports whether two endpoints have the same fields.
-func equal(a, b *fleetpb.Endpoint) bool {
+// equalEndpoints reports whether two endpoints have equal fields.
+func equalEndpoints(a, b *fleetpb.Endpoint) bool {
 	return a == b || a.GetId() == b.GetId() && a.GetService() == b.GetService() && a.GetAddress() == b.GetAddress() &&
 		a.GetFailureDomain() == b.GetFailureDomain() && a.GetSlots() == b.GetSlots() && a.GetDraining() == b.GetDraining() &&
 		a.GetBornMs() == b.GetBornMs()
 }
 
-// Compare calls visit for each endpoint that differs between two lists, in the order of ids: before is nil for one that
-// is new, after for one that is gone.
+// ForEachDifference calls visit for each endpoint that differs between two lists, in ascending
+// order of ids. before is nil for an added endpoint, and after is nil for a removed one.
 func ForEachDifference(from, to *List, visit func(before, after *fleetpb.Endpoint)) {
 	a, b := from.List().GetEndpoints(), to.List().GetEndpoints()
 	for len(a) > 0 && len(b) > 0 {
@@ -110,7 +111,7 @@
 			a, b = a[1:], b[1:]
 			continue
 		}
-		switch order := byID(a[0], b[0]); {
+		switch order := compareIDs(a[0], b[0]); {
 		case order < 0:
 			visit(a[0], nil)
 			a = a[1:]
@@ -118,7 +119,7 @@
 			visit(nil, b[0])
 			b = b[1:]
 		default:
-			if !equal(a[0], b[0]) {
+			if !equalEndpoints(a[0], b[0]) {
 				visit(a[0], b[0])
 			}
 			a, b = a[1:], b[1:]
@@ -132,7 +133,7 @@
 	}
 }
 
-// Same reports whether two lists have the same endpoints, whatever their numbers.
+// Equal reports whether two lists contain equal endpoints, regardless of their numbers.
 func Equal(a, b *List) bool {
 	same := a.Checksum() == b.Checksum()
 	if same {
@@ -141,23 +142,23 @@
 	return same
 }
 
-// Sharing returns l with the endpoints that it has in common with another list taken from there, so that the two need
-// little more memory than one.
+// ShareEndpoints returns l with equal endpoints replaced by those of o, so that the two lists share
+// memory.
 func (l *List) ShareEndpoints(o *List) *List {
 	a, b := slices.Clone(l.List().GetEndpoints()), o.List().GetEndpoints()
 	for i, j := 0, 0; i < len(a) && j < len(b); {
-		switch order := byID(a[i], b[j]); {
+		switch order := compareIDs(a[i], b[j]); {
 		case order < 0:
 			i++
 		case order > 0:
 			j++
 		default:
-			if equal(a[i], b[j]) {
+			if equalEndpoints(a[i], b[j]) {
 				a[i] = b[j]
 			}
 			i++
 			j++
 		}
 	}
-	return &List{list: &fleetpb.EndpointList{Number: l.Number(), Endpoints: a, Calls: l.List().GetCalls()}, sum: l.sum}
+	return &List{list: &fleetpb.EndpointList{Number: l.Number(), Endpoints: a, Calls: l.List().GetCalls()}, checksum: l.checksum}
 }
