--- a/rockbarrow/admission/gate.go
+++ b/rockbarrow/admission/gate.go
@@ -46,19 +46,19 @@
 	// Cost is the call's expected work, in tokens.
 	Cost uint64
 	// Attained is what the run has cost so far; 0 marks a new run.
-	Attained uint64
+	AttainedService uint64
 	// Started is when the run began.
 	Started time.Time
 }
 
 // Taken says that a tried call has an endpoint.
-type Taken struct{ ID ID }
+type Placed struct{ ID ID }
 
 // NoRoom says that no endpoint of a tried call's class has room now.
-type NoRoom struct{ ID ID }
+type NoCapacity struct{ ID ID }
 
 // Left says that a call no longer waits.
-type Left struct{ ID ID }
+type Cancelled struct{ ID ID }
 
 // Finished says that a taken call has left its endpoint.
 type Finished struct{ ID ID }
@@ -66,12 +66,12 @@
 // Ticked lets time pass.
 type Ticked struct{}
 
-func (Arrived) event()  {}
-func (Taken) event()    {}
-func (NoRoom) event()   {}
-func (Left) event()     {}
-func (Finished) event() {}
-func (Ticked) event()   {}
+func (Arrived) event()    {}
+func (Placed) event()     {}
+func (NoCapacity) event() {}
+func (Cancelled) event()  {}
+func (Finished) event()   {}
+func (Ticked) event()     {}
 
 // Action is what a [Gate] wants done.
 type Action interface{ action() }
@@ -80,17 +80,17 @@
 type Try struct{ ID ID }
 
 // Refuse tells the caller that the call did not run.
-type Refuse struct {
+type Reject struct {
 	ID      ID
 	Problem *peerpb.Problem
 }
 
 func (Try) action()    {}
-func (Refuse) action() {}
+func (Reject) action() {}
 
 // Gate holds the calls of one instance that wait for an endpoint. Set the
 // exported fields before the first event; zero takes the defaults.
-type Gate struct {
+type Queue struct {
 	MaxQueue int
 	MaxWait  time.Duration
 
@@ -123,10 +123,10 @@
 }
 
 // Queued returns how many calls wait.
-func (g *Gate) Queued() int { return g.queued }
+func (g *Queue) Len() int { return g.queued }
 
 // Handle takes one event.
-func (g *Gate) Handle(now time.Time, e Event) []Action {
+func (g *Queue) Handle(now time.Time, e Event) []Action {
 	if g.taken == nil {
 		g.taken = map[ID]*waiter{}
 		g.full = map[string]bool{}
@@ -134,14 +134,14 @@
 	switch e := e.(type) {
 	case Arrived:
 		return g.arrived(now, e)
-	case Taken:
+	case Placed:
 		g.take(now, e.ID)
-	case NoRoom:
+	case NoCapacity:
 		if w := g.trying; w != nil && w.arrived.ID == e.ID {
 			g.full[w.arrived.Class] = true
 			g.trying = nil
 		}
-	case Left:
+	case Cancelled:
 		g.remove(e.ID)
 	case Finished:
 		if w := g.taken[e.ID]; w != nil {
@@ -156,13 +156,13 @@
 	return g.next()
 }
 
-func (g *Gate) arrived(now time.Time, e Arrived) []Action {
+func (g *Queue) arrived(now time.Time, e Arrived) []Action {
 	if wait, ok := g.admit(now); !ok {
-		return []Action{Refuse{ID: e.ID, Problem: problem.Retry(problem.Overloaded, "the queue is full", wait)}}
+		return []Action{Reject{ID: e.ID, Problem: problem.Retry(problem.Overloaded, "the queue is full", wait)}}
 	}
 	c := g.customerOf(e)
 	if len(c.waiters) >= g.share(c) {
-		return []Action{Refuse{ID: e.ID, Problem: problem.Retry(problem.Overloaded, "the customer's share of the queue is full", g.wait(now, len(c.waiters)))}}
+		return []Action{Reject{ID: e.ID, Problem: problem.Retry(problem.Overloaded, "the customer's share of the queue is full", g.wait(now, len(c.waiters)))}}
 	}
 	if len(c.waiters) == 0 && c.underway == 0 {
 		c.virtual = g.clock.Join(c.virtual)
@@ -185,14 +185,14 @@
 }
 
 func newRun(w *waiter) int {
-	if w.arrived.Attained == 0 {
+	if w.arrived.AttainedService == 0 {
 		return 1
 	}
 	return 0
 }
 
 // admit refuses early when the queue is full or could not drain in time.
-func (g *Gate) admit(now time.Time) (time.Duration, bool) {
+func (g *Queue) admit(now time.Time) (time.Duration, bool) {
 	wait := g.wait(now, g.queued)
 	if g.queued >= or(g.MaxQueue, DefaultMaxQueue) {
 		return wait, false
@@ -206,7 +206,7 @@
 
 // share is the part of the queue that one customer may fill: all of it alone,
 // and its weight's part when others wait too.
-func (g *Gate) share(c *customer) int {
+func (g *Queue) share(c *customer) int {
 	total := 0.0
 	for _, o := range g.customers {
 		if o == c || len(o.waiters) > 0 {
@@ -217,7 +217,7 @@
 }
 
 // wait estimates how long n calls take to leave the queue.
-func (g *Gate) wait(now time.Time, n int) time.Duration {
+func (g *Queue) wait(now time.Time, n int) time.Duration {
 	g.forget(now)
 	if len(g.drained) == 0 {
 		return max(minRetry, min(or(g.MaxWait, DefaultMaxWait)/2, maxRetry))
@@ -228,7 +228,7 @@
 	return max(minRetry, min(each*time.Duration(n), maxRetry))
 }
 
-func (g *Gate) forget(now time.Time) {
+func (g *Queue) forget(now time.Time) {
 	n := 0
 	for n < len(g.drained) && now.Sub(g.drained[n]) > drainWindow {
 		n++
@@ -236,7 +236,7 @@
 	g.drained = g.drained[n:]
 }
 
-func (g *Gate) customerOf(e Arrived) *customer {
+func (g *Queue) customerOf(e Arrived) *customer {
 	for _, c := range g.customers {
 		if c.name == e.Customer {
 			c.weight = float64(or(e.Weight, 1))
@@ -250,7 +250,7 @@
 }
 
 // next tries the first call of the customer that is behind the most.
-func (g *Gate) next() []Action {
+func (g *Queue) next() []Action {
 	if g.trying != nil || g.queued == 0 {
 		return nil
 	}
@@ -274,7 +274,7 @@
 }
 
 // first returns the customer's first call whose class may have room.
-func (g *Gate) first(c *customer) *waiter {
+func (g *Queue) first(c *customer) *waiter {
 	for _, w := range c.waiters {
 		if !g.full[w.arrived.Class] {
 			return w
@@ -283,7 +283,7 @@
 	return nil
 }
 
-func (g *Gate) take(now time.Time, id ID) {
+func (g *Queue) take(now time.Time, id ID) {
 	w := g.trying
 	if w == nil || w.arrived.ID != id {
 		return
@@ -300,7 +300,7 @@
 	g.forget(now)
 }
 
-func (g *Gate) remove(id ID) {
+func (g *Queue) remove(id ID) {
 	if g.trying != nil && g.trying.arrived.ID == id {
 		g.trying = nil
 	}
@@ -313,7 +313,7 @@
 
 // expire refuses calls whose time in the queue is over and forgets customers
 // that are idle.
-func (g *Gate) expire(now time.Time) []Action {
+func (g *Queue) expire(now time.Time) []Action {
 	var out []Action
 	limit := or(g.MaxWait, DefaultMaxWait)
 	for _, c := range g.customers {
@@ -323,7 +323,7 @@
 			}
 			g.remove(w.arrived.ID)
 			p := problem.Retry(problem.Overloaded, "no endpoint had room in time", g.wait(now, g.queued+1))
-			out = append(out, Refuse{ID: w.arrived.ID, Problem: p})
+			out = append(out, Reject{ID: w.arrived.ID, Problem: p})
 		}
 	}
 	g.customers = slices.DeleteFunc(g.customers, func(c *customer) bool {
--- a/rockbarrow/admission/gate_test.go
+++ b/rockbarrow/admission/gate_test.go
@@ -9,7 +9,7 @@
 
 // desk answers tries with a number of free seats.
 type desk struct {
-	g       Gate
+	g       Queue
 	now     time.Time
 	seats   int
 	taken   []ID
@@ -28,13 +28,13 @@
 		switch a := a.(type) {
 		case Try:
 			if d.seats == 0 {
-				actions = append(actions, d.g.Handle(d.now, NoRoom(a))...)
+				actions = append(actions, d.g.Handle(d.now, NoCapacity(a))...)
 				continue
 			}
 			d.seats--
 			d.taken = append(d.taken, a.ID)
-			actions = append(actions, d.g.Handle(d.now, Taken(a))...)
-		case Refuse:
+			actions = append(actions, d.g.Handle(d.now, Placed(a))...)
+		case Reject:
 			d.refused[a.ID] = a.Problem.GetRetryAfterMs()
 		}
 	}
@@ -70,8 +70,8 @@
 func TestRunsUnderWayGoFirst(t *testing.T) {
 	d := newDesk(0)
 	d.do(Arrived{ID: 1, Customer: "c", Class: "m"})
-	d.do(Arrived{ID: 2, Customer: "c", Class: "m", Attained: 50, Started: d.now})
-	d.do(Arrived{ID: 3, Customer: "c", Class: "m", Attained: 50, Started: d.now.Add(-time.Minute)})
+	d.do(Arrived{ID: 2, Customer: "c", Class: "m", AttainedService: 50, Started: d.now})
+	d.do(Arrived{ID: 3, Customer: "c", Class: "m", AttainedService: 50, Started: d.now.Add(-time.Minute)})
 	d.seats = 3
 	d.do(Ticked{})
 	if len(d.taken) != 3 || d.taken[0] != 3 || d.taken[1] != 2 {
@@ -102,8 +102,8 @@
 			t.Fatalf("call %d told to come back after %d ms, want at least 100", id, after)
 		}
 	}
-	if d.g.Queued() > 24 {
-		t.Fatalf("%d calls wait at 10 a second with 2 s to wait, want at most 24", d.g.Queued())
+	if d.g.Len() > 24 {
+		t.Fatalf("%d calls wait at 10 a second with 2 s to wait, want at most 24", d.g.Len())
 	}
 }
 
@@ -112,8 +112,8 @@
 	d.do(Arrived{ID: 1, Customer: "c", Class: "m"})
 	d.now = d.now.Add(11 * time.Second)
 	d.do(Ticked{})
-	if _, ok := d.refused[1]; !ok || d.g.Queued() != 0 {
-		t.Fatalf("refused %v with %d queued, want call 1 refused", d.refused, d.g.Queued())
+	if _, ok := d.refused[1]; !ok || d.g.Len() != 0 {
+		t.Fatalf("refused %v with %d queued, want call 1 refused", d.refused, d.g.Len())
 	}
 }
 
@@ -132,10 +132,10 @@
 }
 
 func TestOneFullClassDoesNotBlockAnother(t *testing.T) {
-	g := Gate{}
+	g := Queue{}
 	now := time.Unix(1000, 0)
 	g.Handle(now, Arrived{ID: 1, Customer: "c", Class: "full"})
-	g.Handle(now, NoRoom{ID: 1})
+	g.Handle(now, NoCapacity{ID: 1})
 	got := g.Handle(now, Arrived{ID: 2, Customer: "c", Class: "free"})
 	if len(got) != 1 || got[0] != (Try{ID: 2}) {
 		t.Fatalf("actions %v, want a try of call 2", got)
@@ -146,8 +146,8 @@
 	var b RetryBudget
 	retries := 0
 	for range 1000 {
-		b.First()
-		if b.Retry() {
+		b.RecordFirstAttempt()
+		if b.TryRetry() {
 			retries++
 		}
 	}
--- a/rockbarrow/admission/retry.go
+++ b/rockbarrow/admission/retry.go
@@ -19,7 +19,7 @@
 }
 
 // First records a first try.
-func (b *RetryBudget) First() {
+func (b *RetryBudget) RecordFirstAttempt() {
 	for {
 		s := b.spent.Load()
 		if s == 0 || b.spent.CompareAndSwap(s, max(0, s-retryShare)) {
@@ -29,7 +29,7 @@
 }
 
 // Retry takes one retry from the budget, or reports that none is left.
-func (b *RetryBudget) Retry() bool {
+func (b *RetryBudget) TryRetry() bool {
 	for {
 		s := b.spent.Load()
 		if s+100 > retryReserve {
--- a/rockbarrow/dispatch/desk.go
+++ b/rockbarrow/dispatch/desk.go
@@ -88,7 +88,7 @@
 	ids     atomic.Uint64
 
 	mu   sync.Mutex
-	gate admission.Gate
+	gate admission.Queue
 	// jobs are the calls that the gate holds.
 	jobs map[admission.ID]*Job
 	rand *rand.Rand
@@ -106,17 +106,17 @@
 func (d *Desk) Queued() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.gate.Queued()
+	return d.gate.Len()
 }
 
 // Submit takes a job.
 func (d *Desk) Submit(j *Job) {
-	if j.Retry && !d.retries.Retry() {
+	if j.Retry && !d.retries.TryRetry() {
 		j.Refused(problem.Retry(problem.NoEndpoint, "the retry budget is spent", time.Second))
 		return
 	}
 	if !j.Retry {
-		d.retries.First()
+		d.retries.RecordFirstAttempt()
 	}
 	f := d.fleet.Load()
 	if f == nil || len(f.Candidates(j.Request.Class)) == 0 {
@@ -134,14 +134,14 @@
 	d.jobs[id] = j
 	d.mu.Unlock()
 	d.step(admission.Arrived{
-		ID:       id,
-		Customer: j.Customer,
-		Weight:   j.Weight,
-		MaxCalls: j.MaxCalls,
-		Class:    j.Request.Class.Model + "\x00" + j.Request.Class.Service + "\x00" + j.Request.Class.Binding,
-		Cost:     uint64(max(1, j.Request.PromptTokens+j.Request.OutputTokens)),
-		Attained: j.Attained,
-		Started:  j.Started,
+		ID:              id,
+		Customer:        j.Customer,
+		Weight:          j.Weight,
+		MaxCalls:        j.MaxCalls,
+		Class:           j.Request.Class.Model + "\x00" + j.Request.Class.Service + "\x00" + j.Request.Class.Binding,
+		Cost:            uint64(max(1, j.Request.PromptTokens+j.Request.OutputTokens)),
+		AttainedService: j.Attained,
+		Started:         j.Started,
 	})
 }
 
@@ -165,7 +165,7 @@
 				calls = append(calls, call)
 			}
 			actions = append(actions, d.gate.Handle(now, next)...)
-		case admission.Refuse:
+		case admission.Reject:
 			if j := d.jobs[a.ID]; j != nil {
 				delete(d.jobs, a.ID)
 				calls = append(calls, func() { j.Refused(a.Problem) })
@@ -183,11 +183,11 @@
 	j := d.jobs[id]
 	choice, ok := d.fleet.Load().Choose(now, j.Request, d.rand)
 	if !ok {
-		return nil, admission.NoRoom{ID: id}
+		return nil, admission.NoCapacity{ID: id}
 	}
 	delete(d.jobs, id)
 	seat := &Seat{desk: d, id: id, choice: choice}
-	return func() { j.Placed(seat) }, admission.Taken{ID: id}
+	return func() { j.Placed(seat) }, admission.Placed{ID: id}
 }
 
 // Run ticks until ctx ends.
