--- a/rockbarrow/admission/gate.go
+++ b/rockbarrow/admission/gate.go
@@ -100,7 +100,7 @@
 	taken  map[ID]*waiter
 	// full are classes without room since the last change.
 	full   map[string]bool
-	clock  fair.Clock
+	clock  fair.VirtualClock
 	queued int
 	// drained are times of calls that left the queue for an endpoint.
 	drained []time.Time
@@ -165,7 +165,7 @@
 		return []Action{Reject{ID: e.ID, Problem: problem.Retry(problem.Overloaded, "the customer's share of the queue is full", g.wait(now, len(c.waiters)))}}
 	}
 	if len(c.waiters) == 0 && c.underway == 0 {
-		c.virtual = g.clock.Join(c.virtual)
+		c.virtual = g.clock.StartTag(c.virtual)
 	}
 	w := &waiter{arrived: e, at: now, customer: c}
 	at, _ := slices.BinarySearchFunc(c.waiters, w, compareWaiters)
@@ -244,7 +244,7 @@
 			return c
 		}
 	}
-	c := &customer{name: e.Customer, weight: float64(or(e.Weight, 1)), maxCalls: e.MaxCalls, virtual: g.clock.Join(0)}
+	c := &customer{name: e.Customer, weight: float64(or(e.Weight, 1)), maxCalls: e.MaxCalls, virtual: g.clock.StartTag(0)}
 	g.customers = append(g.customers, c)
 	return c
 }
@@ -292,8 +292,8 @@
 	c := w.customer
 	c.waiters = slices.DeleteFunc(c.waiters, func(o *waiter) bool { return o == w })
 	g.queued--
-	g.clock.Serve(c.virtual)
-	c.virtual = fair.Charge(c.virtual, float64(max(w.arrived.Cost, 1)), c.weight)
+	g.clock.Advance(c.virtual)
+	c.virtual = fair.FinishTag(c.virtual, float64(max(w.arrived.Cost, 1)), c.weight)
 	c.underway++
 	g.taken[id] = w
 	g.drained = append(g.drained, now)
@@ -327,7 +327,7 @@
 		}
 	}
 	g.customers = slices.DeleteFunc(g.customers, func(c *customer) bool {
-		return len(c.waiters) == 0 && c.underway == 0 && g.clock.Behind(c.virtual)
+		return len(c.waiters) == 0 && c.underway == 0 && g.clock.Passed(c.virtual)
 	})
 	return out
 }
--- a/rockbarrow/limiter/limiter.go
+++ b/rockbarrow/limiter/limiter.go
@@ -29,7 +29,7 @@
 	// promised is when the client that was rejected last is to come back.
 	promised time.Time
 	// clock orders the new programs of customers, and customers holds the virtual time of each.
-	clock     fair.Clock
+	clock     fair.VirtualClock
 	customers map[string]float64
 }
 
@@ -133,7 +133,7 @@
 
 func (l *Limiter) arrive(now time.Time, e Arrived) []Action {
 	l.arrivals++
-	w := &waiter{id: e.ID, group: groupOf(e), priority: e.Priority, virtual: l.clock.Join(l.customers[e.Customer]), arrival: l.arrivals}
+	w := &waiter{id: e.ID, group: groupOf(e), priority: e.Priority, virtual: l.clock.StartTag(l.customers[e.Customer]), arrival: l.arrivals}
 	if e.HasDeadline {
 		w.due = now.Add(e.Remaining)
 	}
@@ -164,12 +164,12 @@
 // charge moves a customer behind those that had fewer new programs for their weights.
 func (l *Limiter) charge(customer string, virtual, weight float64) {
 	if len(l.customers) >= manyCustomers {
-		maps.DeleteFunc(l.customers, func(_ string, v float64) bool { return l.clock.Behind(v) })
+		maps.DeleteFunc(l.customers, func(_ string, v float64) bool { return l.clock.Passed(v) })
 	}
 	if l.customers == nil {
 		l.customers = map[string]float64{}
 	}
-	l.customers[customer] = fair.Charge(virtual, 1, weight)
+	l.customers[customer] = fair.FinishTag(virtual, 1, weight)
 }
 
 // ahead returns how many of a group wait before a position.
@@ -204,7 +204,7 @@
 		}
 		l.running[w.id] = now
 		if w.group == fresh {
-			l.clock.Serve(w.virtual)
+			l.clock.Advance(w.virtual)
 		}
 		l.begun[w.group].add(now)
 		out = append(out, Start{ID: w.id})
