--- a/rockbarrow/daemon/build.go
+++ b/rockbarrow/daemon/build.go
@@ -118,7 +118,7 @@
 
 func (d *Daemon) buildDesk() {
 	p := d.Settings.Placement
-	d.desk = &dispatch.Desk{
+	d.desk = &dispatch.Dispatcher{
 		Weights:  placement.Weights{Latency: p.LatencyWeight, Cache: p.CacheWeight},
 		Policy:   policyOf(p.Policy),
 		MaxQueue: d.Settings.Limits.Queue,
@@ -157,7 +157,7 @@
 		Peers: d.client, Places: places(peers), View: d.node.View,
 		PullEvery:  settings.Milliseconds(d.Settings.Timing.PullMS),
 		PauseLimit: settings.Milliseconds(d.Settings.Timing.DeadAfterMS) / 2,
-		Changed:    func(s *control.Snapshot) { d.desk.Use(s) },
+		Changed:    func(s *control.Snapshot) { d.desk.ApplySnapshot(s) },
 		Log:        d.Log, Metrics: d.scope,
 	}
 	d.host.Config = d.source.Snapshot
--- a/rockbarrow/daemon/daemon.go
+++ b/rockbarrow/daemon/daemon.go
@@ -59,7 +59,7 @@
 	client      *peer.Client
 	node        *gossip.Node
 	source      *config.Source
-	desk        *dispatch.Desk
+	desk        *dispatch.Dispatcher
 	host        *host.Host
 	cleanUps    []func()
 	// failed gets the first error that ends the instance.
--- a/rockbarrow/dispatch/desk.go
+++ b/rockbarrow/dispatch/desk.go
@@ -28,23 +28,23 @@
 
 // Job is a call that wants an endpoint. Exactly one of Placed and Refused is
 // called, once, and not under a lock of the desk.
-type Job struct {
+type Call struct {
 	Customer string
 	Weight   uint32
 	MaxCalls uint32
 	Request  placement.Request
 	// Attained and Started order the calls of a customer.
-	Attained uint64
-	Started  time.Time
+	AttainedService uint64
+	Started         time.Time
 	// Retry is true for an attempt after the first; it needs the retry budget.
-	Retry   bool
-	Placed  func(*Seat)
-	Refused func(*peerpb.Problem)
+	Retry    bool
+	Placed   func(*Slot)
+	Rejected func(*peerpb.Problem)
 }
 
 // Seat is a taken place at an endpoint.
-type Seat struct {
-	desk   *Desk
+type Slot struct {
+	desk   *Dispatcher
 	id     admission.ID
 	choice placement.Choice
 	given  atomic.Bool
@@ -52,28 +52,28 @@
 }
 
 // Choice returns the endpoint and what the choice counted on.
-func (s *Seat) Choice() placement.Choice { return s.choice }
+func (s *Slot) Choice() placement.Choice { return s.choice }
 
 // First says that the first token came.
-func (s *Seat) First() {
+func (s *Slot) RecordFirstToken() {
 	if s.first.CompareAndSwap(false, true) {
 		s.choice.Endpoint().FirstToken(s.choice.UncachedTokens())
 	}
 }
 
 // Done gives the seat back; only the first call counts.
-func (s *Seat) Done(r placement.Result) {
+func (s *Slot) Release(r placement.Result) {
 	if !s.given.CompareAndSwap(false, true) {
 		return
 	}
-	s.First()
+	s.RecordFirstToken()
 	s.choice.Endpoint().Done(time.Now(), r)
 	s.desk.step(admission.Finished{ID: s.id})
 }
 
 // Desk is one for each instance. Set the exported fields before the first
 // Submit.
-type Desk struct {
+type Dispatcher struct {
 	Weights  placement.Weights
 	Policy   placement.Policy
 	MaxQueue int
@@ -90,29 +90,29 @@
 	mu   sync.Mutex
 	gate admission.Queue
 	// jobs are the calls that the gate holds.
-	jobs map[admission.ID]*Job
+	jobs map[admission.ID]*Call
 	rand *rand.Rand
 }
 
 // Use brings a version of the configuration into force.
-func (d *Desk) Use(s *control.Snapshot) {
+func (d *Dispatcher) ApplySnapshot(s *control.Snapshot) {
 	d.fleet.Store(placement.NewFleet(s, d.Weights, d.Policy, d.fleet.Load()))
 }
 
 // Fleet returns the endpoints in force; nil before the first Use.
-func (d *Desk) Fleet() *placement.Fleet { return d.fleet.Load() }
+func (d *Dispatcher) Fleet() *placement.Fleet { return d.fleet.Load() }
 
 // Queued returns how many calls wait.
-func (d *Desk) Queued() int {
+func (d *Dispatcher) QueueLen() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.gate.Len()
 }
 
 // Submit takes a job.
-func (d *Desk) Submit(j *Job) {
+func (d *Dispatcher) Submit(j *Call) {
 	if j.Retry && !d.retries.TryRetry() {
-		j.Refused(problem.Retry(problem.NoEndpoint, "the retry budget is spent", time.Second))
+		j.Rejected(problem.Retry(problem.NoEndpoint, "the retry budget is spent", time.Second))
 		return
 	}
 	if !j.Retry {
@@ -120,13 +120,13 @@
 	}
 	f := d.fleet.Load()
 	if f == nil || len(f.Candidates(j.Request.Class)) == 0 {
-		j.Refused(problem.Retry(problem.NoEndpoint, "no endpoint in an allowed place serves it", time.Second))
+		j.Rejected(problem.Retry(problem.NoEndpoint, "no endpoint in an allowed place serves it", time.Second))
 		return
 	}
 	id := admission.ID(d.ids.Add(1))
 	d.mu.Lock()
 	if d.jobs == nil {
-		d.jobs = map[admission.ID]*Job{}
+		d.jobs = map[admission.ID]*Call{}
 		d.rand = rand.New(rand.NewPCG(d.Seed, 1))
 		d.gate.MaxQueue = d.MaxQueue
 		d.gate.MaxWait = d.MaxWait
@@ -140,13 +140,13 @@
 		MaxCalls:        j.MaxCalls,
 		Class:           j.Request.Class.Model + "\x00" + j.Request.Class.Service + "\x00" + j.Request.Class.Binding,
 		Cost:            uint64(max(1, j.Request.PromptTokens+j.Request.OutputTokens)),
-		AttainedService: j.Attained,
+		AttainedService: j.AttainedService,
 		Started:         j.Started,
 	})
 }
 
 // step runs the gate under the lock and calls the jobs after it.
-func (d *Desk) step(e admission.Event) {
+func (d *Dispatcher) step(e admission.Event) {
 	now := time.Now()
 	var calls []func()
 	d.mu.Lock()
@@ -168,7 +168,7 @@
 		case admission.Reject:
 			if j := d.jobs[a.ID]; j != nil {
 				delete(d.jobs, a.ID)
-				calls = append(calls, func() { j.Refused(a.Problem) })
+				calls = append(calls, func() { j.Rejected(a.Problem) })
 			}
 		}
 	}
@@ -179,21 +179,21 @@
 }
 
 // try looks for an endpoint and returns what to tell the job and the gate.
-func (d *Desk) try(now time.Time, id admission.ID) (func(), admission.Event) {
+func (d *Dispatcher) try(now time.Time, id admission.ID) (func(), admission.Event) {
 	j := d.jobs[id]
 	choice, ok := d.fleet.Load().Choose(now, j.Request, d.rand)
 	if !ok {
 		return nil, admission.NoCapacity{ID: id}
 	}
 	delete(d.jobs, id)
-	seat := &Seat{desk: d, id: id, choice: choice}
+	seat := &Slot{desk: d, id: id, choice: choice}
 	return func() { j.Placed(seat) }, admission.Placed{ID: id}
 }
 
 // Run ticks until ctx ends.
-func (d *Desk) Run(ctx context.Context) { d.loop(ctx) }
+func (d *Dispatcher) Run(ctx context.Context) { d.loop(ctx) }
 
-func (d *Desk) loop(ctx context.Context) {
+func (d *Dispatcher) loop(ctx context.Context) {
 	t := time.NewTicker(tickPeriod)
 	defer t.Stop()
 	for {
--- a/rockbarrow/endpointlist/list.go
+++ b/rockbarrow/endpointlist/list.go
@@ -47,7 +47,7 @@
 	URL    string
 	Every  time.Duration
 	Roster Roster
-	Desk   *dispatch.Desk
+	Desk   *dispatch.Dispatcher
 	Log    *logrus.Entry
 }
 
--- a/rockbarrow/engine/watch.go
+++ b/rockbarrow/engine/watch.go
@@ -66,7 +66,7 @@
 // before Run.
 type Watcher struct {
 	HTTP  *http.Client
-	Desk  *dispatch.Desk
+	Desk  *dispatch.Dispatcher
 	Every time.Duration
 	// Near names the failure domain whose engines are polled most.
 	Near string
--- a/rockbarrow/host/host.go
+++ b/rockbarrow/host/host.go
@@ -45,7 +45,7 @@
 	Backends Backends
 	// Store is nil without a disk.
 	Store Store
-	Desk  *dispatch.Desk
+	Desk  *dispatch.Dispatcher
 	// Config and View return what is in force; both are read on every request.
 	Config func() *control.Snapshot
 	View   func() *roster.View
@@ -158,7 +158,7 @@
 	h.Metrics.Gauge("runs_owned").Update(float64(owned))
 	h.Metrics.Gauge("runs_replicated").Update(float64(held))
 	h.Metrics.Gauge("runs_repairing").Update(float64(repairing))
-	h.Metrics.Gauge("calls_queued").Update(float64(h.Desk.Queued()))
+	h.Metrics.Gauge("calls_queued").Update(float64(h.Desk.QueueLen()))
 }
 
 // Counts returns owned runs, replicated runs, and owned runs that lack replicas.
--- a/rockbarrow/host/perform.go
+++ b/rockbarrow/host/perform.go
@@ -19,7 +19,7 @@
 
 // seated is the seat of an attempt.
 type seated struct {
-	seat    *dispatch.Seat
+	seat    *dispatch.Slot
 	attempt uint32
 	// cancel stops the attempt once it was sent; sent is true from then on.
 	cancel context.CancelFunc
@@ -27,7 +27,7 @@
 }
 
 // release returns a seat that was never used.
-func (s *seated) release() { s.seat.Done(placement.Result{OK: true}) }
+func (s *seated) release() { s.seat.Release(placement.Result{OK: true}) }
 
 // unusedSeat takes the seat away when its attempt came to nothing before it
 // was sent. Called with mu held.
@@ -72,7 +72,7 @@
 	for _, name := range a.Avoid {
 		avoid = append(avoid, life.Life{ID: name})
 	}
-	job := &dispatch.Job{
+	job := &dispatch.Call{
 		Customer: created.GetCustomer(),
 		Weight:   customer.GetWeight(),
 		MaxCalls: customer.GetMaxCalls(),
@@ -84,12 +84,12 @@
 			LastEndpoint:   life.Life{ID: a.Last},
 			AvoidEndpoints: avoid,
 		},
-		Attained: a.Attained,
-		Started:  time.UnixMilli(o.Machine.State().MadeMS()),
-		Retry:    a.Attempt > 1,
+		AttainedService: a.Attained,
+		Started:         time.UnixMilli(o.Machine.State().MadeMS()),
+		Retry:           a.Attempt > 1,
 	}
-	job.Placed = func(seat *dispatch.Seat) { r.placed(a, seat, s.Version()) }
-	job.Refused = func(p *peerpb.Problem) {
+	job.Placed = func(seat *dispatch.Slot) { r.placed(a, seat, s.Version()) }
+	job.Rejected = func(p *peerpb.Problem) {
 		r.post(owner.Asked{Event: program.Unplaced{Sequence: a.Sequence, Attempt: a.Attempt, Problem: p}})
 	}
 	r.host.Desk.Submit(job)
@@ -127,7 +127,7 @@
 	return bounds[len(bounds)-1].Tokens
 }
 
-func (r *run) placed(a program.Place, seat *dispatch.Seat, version uint64) {
+func (r *run) placed(a program.Place, seat *dispatch.Slot, version uint64) {
 	s := &seated{seat: seat, attempt: a.Attempt}
 	r.mu.Lock()
 	old := r.seat
--- a/rockbarrow/host/sending.go
+++ b/rockbarrow/host/sending.go
@@ -34,7 +34,7 @@
 	}
 	w.run.host.Metrics.Counter("attempts").Inc(1)
 	out := w.run.host.Backends.Call(w.ctx, w.attempt, w.emit)
-	w.seat.seat.Done(w.result(out))
+	w.seat.seat.Release(w.result(out))
 	log := w.run.host.Log.WithField("run", w.run.name).WithField("call", in.GetSequence()).WithField("attempt", in.GetAttempt()).WithField("endpoint", in.GetEndpoint())
 	if out.Answered == nil {
 		log.WithField("not_run", out.NotRun).WithField("reason", out.Reason).Info("an attempt failed")
@@ -69,7 +69,7 @@
 }
 
 func (w *sending) emit(offset uint64, content string) {
-	w.seat.seat.First()
+	w.seat.seat.RecordFirstToken()
 	in := w.attempt.Intent
 	w.post(program.Streamed{Sequence: in.GetSequence(), Attempt: in.GetAttempt(), Offset: offset, Content: content})
 }
