--- a/rockbarrow/controller/controller.go
+++ b/rockbarrow/controller/controller.go
@@ -78,7 +78,7 @@
 	Decode func(document []byte) (*fleetpb.Document, error)
 	Log    *logrus.Entry
 	// QuotaTerms are the terms of customers' quotas.
-	QuotaTerms quota.Terms
+	QuotaTerms quota.Params
 
 	watch *watch.Client
 	// process names this process to entry instances, which tell a new one of what went before.
@@ -161,8 +161,8 @@
 	c.proposing = make(chan struct{}, 1)
 	c.listTag = rand.Uint64N(1 << tagBits)
 	c.process = rand.Uint64()
-	c.quotas.Terms = c.QuotaTerms
-	c.quotas.Begin(time.Now())
+	c.quotas.Params = c.QuotaTerms
+	c.quotas.Start(time.Now())
 	c.update = make(chan struct{})
 	return nil
 }
--- a/rockbarrow/controller/customers_test.go
+++ b/rockbarrow/controller/customers_test.go
@@ -97,8 +97,8 @@
 // a quarter of each quota in.
 func TestInstancesThatAreNotHeardKeepTheirShares(t *testing.T) {
 	p := newCore(t)[0]
-	p.controller.quotas.Terms = quota.Terms{Window: 1024 * time.Second}
-	p.controller.quotas.Begin(time.Now().Add(-time.Hour))
+	p.controller.quotas.Params = quota.Params{Window: 1024 * time.Second}
+	p.controller.quotas.Start(time.Now().Add(-time.Hour))
 	put(t, p, 1, keyedDocument(t, 1))
 	await(t, func() bool { return p.controller.RoutingTable().Customers() == 2 })
 	now := time.Now()
@@ -138,8 +138,8 @@
 // TestCustomersAreCountedByControl: what entry instances tell, and what was granted, counts; operators see it.
 func TestCustomersAreCountedByControl(t *testing.T) {
 	p := newCore(t)[0]
-	p.controller.quotas.Terms = quota.Terms{Window: 1024 * time.Second}
-	p.controller.quotas.Begin(time.Now().Add(-time.Hour))
+	p.controller.quotas.Params = quota.Params{Window: 1024 * time.Second}
+	p.controller.quotas.Start(time.Now().Add(-time.Hour))
 	put(t, p, 1, keyedDocument(t, 1))
 	await(t, func() bool { return p.controller.RoutingTable().Customers() == 2 })
 	admit := func(customer string) *fleetpb.AdmitReply {
--- a/rockbarrow/controller/updates.go
+++ b/rockbarrow/controller/updates.go
@@ -113,7 +113,7 @@
 	h.controlSum = sumMembers(h.control)
 	h.entryDomains, h.entries = c.presence.entryDomains(now)
 	c.counted.Store(h)
-	c.quotas.Miss(missing(h.entryDomains))
+	c.quotas.SetMissingShare(missing(h.entryDomains))
 	return h
 }
 
--- a/rockbarrow/entry/customer.go
+++ b/rockbarrow/entry/customer.go
@@ -70,7 +70,7 @@
 	switch d := d.(type) {
 	case quota.Refused:
 		return Refused{Status: http.StatusTooManyRequests, RetryAfter: max(d.RetryAfter, soon), Reason: "the customer is at its limit"}
-	case quota.Unsure:
+	case quota.Unavailable:
 		return Refused{Status: http.StatusServiceUnavailable, RetryAfter: later, Reason: "the customer's limit could not be looked up"}
 	}
 	x.counted = true
@@ -85,7 +85,7 @@
 // refundQuota lets another request in if this one certainly did not run.
 func (x *exchange) refundQuota() {
 	if x.counted && !x.ran {
-		x.entry.Quota.Return(time.Now(), x.customer)
+		x.entry.Quota.Refund(time.Now(), x.customer)
 	}
 }
 
@@ -118,7 +118,7 @@
 	switch d.(type) {
 	case quota.Refused:
 		name = "customer_refused"
-	case quota.Unsure:
+	case quota.Unavailable:
 		name = "customer_unsure"
 	}
 	e.customers.of(e.Metrics, "customer", customer).Counter(name).Inc(1)
--- a/rockbarrow/entry/customer_test.go
+++ b/rockbarrow/entry/customer_test.go
@@ -247,7 +247,7 @@
 		d := keyed(2)
 		d.Customers[0].RequestsPerSecond, d.Customers[0].Burst = 0.1, 0.5
 		e.take(t, d)
-		e.Quota = &quota.Limiter{Terms: quota.Terms{Window: 5 * time.Second}, Way: quota.Even{}, Entries: func() int { return 1 }, Ask: none}
+		e.Quota = &quota.Limiter{Params: quota.Params{Window: 5 * time.Second}, Mode: quota.Even{}, EntryCount: func() int { return 1 }, AskControl: none}
 		e.Serve(t.Context(), askAs("ka", "/once/1"), &fakeOut{})
 		out := &fakeOut{}
 		o := e.Serve(t.Context(), askAs("ka", "/once/2"), out)
@@ -277,8 +277,8 @@
 	d.Customers[0].RequestsPerSecond = 10
 	e.take(t, d)
 	e.Quota = &quota.Limiter{
-		Terms: quota.Terms{Window: 5 * time.Second}, Way: quota.Central{}, Entries: func() int { return 1 },
-		Ask: func(_ context.Context, req *fleetpb.AdmitRequest) (string, *fleetpb.AdmitReply, error) {
+		Params: quota.Params{Window: 5 * time.Second}, Mode: quota.Central{}, EntryCount: func() int { return 1 },
+		AskControl: func(_ context.Context, req *fleetpb.AdmitRequest) (string, *fleetpb.AdmitReply, error) {
 			return "control", answer(req), nil
 		},
 	}
@@ -330,7 +330,7 @@
 	d := keyed(2)
 	d.Customers[0].RequestsPerSecond, d.Customers[0].Burst = 0.1, 2.5
 	e.take(t, d)
-	e.Quota = &quota.Limiter{Terms: quota.Terms{Window: 5 * time.Second}, Way: quota.Even{}, Entries: func() int { return 1 }}
+	e.Quota = &quota.Limiter{Params: quota.Params{Window: 5 * time.Second}, Mode: quota.Even{}, EntryCount: func() int { return 1 }}
 	for i, want := range []int{200, 200, http.StatusTooManyRequests} {
 		out := &fakeOut{}
 		if o := e.Serve(t.Context(), askAs("ka", "/repeat/1"), out); statusOf(o, out) != want {
--- a/rockbarrow/entry/exchange.go
+++ b/rockbarrow/entry/exchange.go
@@ -167,7 +167,7 @@
 		return nil, nil, &NotRunError{Endpoint: "none", Reason: "no endpoint has room", Busy: true}
 	}
 	if x.counted && x.runs > 0 {
-		x.entry.Quota.Charge(time.Now(), x.customer)
+		x.entry.Quota.CountRetry(time.Now(), x.customer)
 	}
 	p := choice.Endpoint()
 	pauses.at(p.Domain())
--- a/rockbarrow/entry/loads.go
+++ b/rockbarrow/entry/loads.go
@@ -70,9 +70,9 @@
 // CustomerUses returns how many requests of each customer were let in, as package watch asks for them: within
 // the window of quotas if the control instance knows of none.
 func (e *Entry) CustomerUses(control string, whole bool) []watch.CustomerUse {
-	uses := e.Quota.Uses(control)
+	uses := e.Quota.Admitted(control)
 	if whole {
-		uses = e.Quota.Recent(time.Now())
+		uses = e.Quota.RecentlyAdmitted(time.Now())
 	}
 	out := make([]watch.CustomerUse, 0, len(uses))
 	for _, u := range uses {
@@ -83,5 +83,5 @@
 
 // ReceiveCustomers takes how many requests of each customer were let in at all entry instances.
 func (e *Entry) ReceiveCustomers(counts []*fleetpb.CustomerCount, asked time.Time) {
-	e.Quota.Receive(asked, counts)
+	e.Quota.SetCounts(asked, counts)
 }
--- a/rockbarrow/quota/counter.go
+++ b/rockbarrow/quota/counter.go
@@ -11,7 +11,7 @@
 
 // Counter is a control instance's count of the requests of all customers. Set the exported field before Begin.
 type Counter struct {
-	Terms Terms
+	Params Params
 
 	mu    sync.Mutex
 	began time.Time
@@ -34,7 +34,7 @@
 
 // Begin starts to count. What was let in before is not known: it may have been up to the limit, and goes out
 // of the window as time passes.
-func (c *Counter) Begin(now time.Time) {
+func (c *Counter) Start(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.began, c.customers = now, map[string]*counted{}
@@ -52,7 +52,7 @@
 
 // Add counts what an entry instance has let in by itself.
 func (c *Counter) Add(now time.Time, uses []*fleetpb.CustomerUse) {
-	if c.Terms.Window <= 0 || len(uses) == 0 {
+	if c.Params.Window <= 0 || len(uses) == 0 {
 		return
 	}
 	c.mu.Lock()
@@ -63,13 +63,13 @@
 		if u.GetEarlier() {
 			w = &k.earlier
 		}
-		w.add(now.Sub(c.began), c.Terms.Window, u.GetRequests())
+		w.add(now.Sub(c.began), c.Params.Window, u.GetRequests())
 	}
 }
 
 // Miss tells which part of the entry instances was not heard lately. They may be cut off, and let in their even
 // shares of each limit meanwhile.
-func (c *Counter) Miss(part float64) {
+func (c *Counter) SetMissingShare(part float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.missing = part
@@ -79,21 +79,21 @@
 // lost can't tell what they had let in before the counter began: that may be as much as was allowed.
 func (c *Counter) used(now time.Time, k *counted, limit float64) float64 {
 	age := now.Sub(c.began)
-	most := limit * (1 - age.Seconds()/c.Terms.Window.Seconds())
-	earlier := max(most, float64(k.earlier.count(age, c.Terms.Window)))
-	return earlier + float64(k.window.count(age, c.Terms.Window)) + limit*c.missing
+	most := limit * (1 - age.Seconds()/c.Params.Window.Seconds())
+	earlier := max(most, float64(k.earlier.count(age, c.Params.Window)))
+	return earlier + float64(k.window.count(age, c.Params.Window)) + limit*c.missing
 }
 
 // Admit lets requests of a customer in, or none of them.
 func (c *Counter) Admit(now time.Time, customer *fleetpb.Customer, n uint32, newProgram bool) Decision {
-	limit, ok := c.Terms.limit(customer)
+	limit, ok := c.Params.limit(customer)
 	if !ok {
 		return Granted{}
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	k := c.of(customer.GetName())
-	bound := c.Terms.bound(limit)
+	bound := c.Params.bound(limit)
 	if newProgram {
 		bound = newProgramShare * limit
 	}
@@ -101,19 +101,19 @@
 		k.refused += uint64(n)
 		return Refused{RetryAfter: c.retryAfter(now, k, bound-float64(n), customer.GetRequestsPerSecond())}
 	}
-	k.window.add(now.Sub(c.began), c.Terms.Window, n)
+	k.window.add(now.Sub(c.began), c.Params.Window, n)
 	return Granted{}
 }
 
 // retryAfter spreads the clients that are refused over the time to come, as fast as the customer's rate allows; the
 // caller holds mu.
 func (c *Counter) retryAfter(now time.Time, k *counted, left, perSecond float64) time.Duration {
-	next := now.Add(k.window.until(now.Sub(c.began), c.Terms.Window, left))
+	next := now.Add(k.window.until(now.Sub(c.began), c.Params.Window, left))
 	step := time.Duration(float64(time.Second) / perSecond)
 	if after := k.promised.Add(step); after.After(next) {
 		next = after
 	}
-	if latest := now.Add(c.Terms.Window); next.After(latest) {
+	if latest := now.Add(c.Params.Window); next.After(latest) {
 		next = latest
 	}
 	k.promised = next
@@ -132,11 +132,11 @@
 	var out []*fleetpb.CustomerCount
 	for name, k := range c.customers {
 		age := now.Sub(c.began)
-		if k.window.count(age, c.Terms.Window)+k.earlier.count(age, c.Terms.Window) == 0 && (k.refused == 0 || customer(name) == nil) {
+		if k.window.count(age, c.Params.Window)+k.earlier.count(age, c.Params.Window) == 0 && (k.refused == 0 || customer(name) == nil) {
 			delete(c.customers, name)
 			continue
 		}
-		limit, ok := c.Terms.limit(customer(name))
+		limit, ok := c.Params.limit(customer(name))
 		if !ok {
 			continue
 		}
@@ -160,11 +160,11 @@
 func (c *Counter) Usage(now time.Time, customer *fleetpb.Customer) Usage {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	limit, _ := c.Terms.limit(customer)
+	limit, _ := c.Params.limit(customer)
 	k := c.customers[customer.GetName()]
 	if k == nil {
 		return Usage{Limit: limit}
 	}
 	age := now.Sub(c.began)
-	return Usage{Requests: k.window.count(age, c.Terms.Window), Refused: k.refused, Limit: limit}
+	return Usage{Requests: k.window.count(age, c.Params.Window), Refused: k.refused, Limit: limit}
 }
--- a/rockbarrow/quota/limiter.go
+++ b/rockbarrow/quota/limiter.go
@@ -28,10 +28,10 @@
 )
 
 // Ask asks a control instance to let requests in. It returns who answered, for [Limiter.Uses].
-type Ask func(ctx context.Context, req *fleetpb.AdmitRequest) (control string, reply *fleetpb.AdmitReply, err error)
+type AdmitFunc func(ctx context.Context, req *fleetpb.AdmitRequest) (control string, reply *fleetpb.AdmitReply, err error)
 
 // Way is how a limiter lets requests in: [Shared], [Central], [Estimated] or [Even].
-type Way interface{ way() }
+type Mode interface{ way() }
 
 // Shared lets requests in by shares of what is left, and asks beyond that. It is what instances use.
 type Shared struct{}
@@ -52,13 +52,13 @@
 
 // Limiter lets requests in on an entry instance. Set the exported fields before the first call.
 type Limiter struct {
-	Terms Terms
+	Params Params
 	// Way is how; nil is Shared.
-	Way Way
+	Mode Mode
 	// Instance names the entry instance, and Entries returns how many there are.
-	Instance string
-	Entries  func() int
-	Ask      Ask
+	Instance   string
+	EntryCount func() int
+	AskControl AdmitFunc
 
 	began    time.Time
 	once     sync.Once
@@ -105,7 +105,7 @@
 }
 
 // Receive takes news, which were asked for at a moment.
-func (l *Limiter) Receive(asked time.Time, counts []*fleetpb.CustomerCount) {
+func (l *Limiter) SetCounts(asked time.Time, counts []*fleetpb.CustomerCount) {
 	n := &update{asked: asked, counts: make(map[string]uint32, len(counts))}
 	for _, c := range counts {
 		n.counts[c.GetCustomer()] = c.GetRequests()
@@ -115,7 +115,7 @@
 
 // Admit decides about one request of a customer.
 func (l *Limiter) Admit(ctx context.Context, now time.Time, customer *fleetpb.Customer, newProgram bool) Decision {
-	limit, ok := l.Terms.limit(customer)
+	limit, ok := l.Params.limit(customer)
 	if !ok {
 		return Granted{}
 	}
@@ -123,7 +123,7 @@
 	if d := a.alone(l, now, customer.GetName(), limit, newProgram); d != nil {
 		return d
 	}
-	control, reply, err := l.Ask(ctx, &fleetpb.AdmitRequest{Customer: customer.GetName(), Requests: 1, NewProgram: newProgram})
+	control, reply, err := l.AskControl(ctx, &fleetpb.AdmitRequest{Customer: customer.GetName(), Requests: 1, NewProgram: newProgram})
 	switch {
 	case err != nil || reply.GetUnsure():
 		return a.evenly(l, now, customer.GetName(), limit)
@@ -145,7 +145,7 @@
 		a.refunds--
 		return Granted{}
 	}
-	switch l.Way.(type) {
+	switch l.Mode.(type) {
 	case Central:
 		return nil
 	case Even:
@@ -181,9 +181,9 @@
 	}
 	a.sharing = n
 	a.told = max(float64(n.counts[customer]), toldFrom*limit)
-	bound := l.Terms.bound(limit)
-	left := max(0, min(bound-a.told, l.Terms.most(limit)-bound))
-	whole, part := math.Modf(left / float64(shares*max(1, l.Entries())))
+	bound := l.Params.bound(limit)
+	left := max(0, min(bound-a.told, l.Params.most(limit)-bound))
+	whole, part := math.Modf(left / float64(shares*max(1, l.EntryCount())))
 	a.share = int(whole)
 	if rand.Float64() < part {
 		// Of shares below one, as many instances get a whole one as make up the sum.
@@ -194,7 +194,7 @@
 // count notes a request that was let in; the caller holds mu.
 func (a *account) count(l *Limiter, now time.Time) {
 	a.let++
-	a.window.add(l.since(now), l.Terms.Window, 1)
+	a.window.add(l.since(now), l.Params.Window, 1)
 }
 
 func (a *account) grant(l *Limiter, now time.Time, control string) {
@@ -222,19 +222,19 @@
 	if d, ok := a.even(l, now, customer, limit).(Granted); ok {
 		return d
 	}
-	return Unsure{}
+	return Unavailable{}
 }
 
 // even decides by an even share of the limit; the caller holds mu. What is left of shares by rounding off goes to
 // as many instances as make up the limit, which a hash draws.
 func (a *account) even(l *Limiter, now time.Time, customer string, limit float64) Decision {
-	whole, part := math.Modf(limit / float64(max(1, l.Entries())))
+	whole, part := math.Modf(limit / float64(max(1, l.EntryCount())))
 	if float64(xxhash.Sum64String(l.Instance+"\x00"+customer))/math.MaxUint64 < part {
 		whole++
 	}
-	used := a.window.count(l.since(now), l.Terms.Window)
+	used := a.window.count(l.since(now), l.Params.Window)
 	if float64(used)+1 > whole {
-		return Refused{RetryAfter: a.window.until(l.since(now), l.Terms.Window, whole-1)}
+		return Refused{RetryAfter: a.window.until(l.since(now), l.Params.Window, whole-1)}
 	}
 	a.count(l, now)
 	return Granted{}
@@ -258,8 +258,8 @@
 }
 
 // Charge counts a request that may run once more: a try at another endpoint.
-func (l *Limiter) Charge(now time.Time, customer *fleetpb.Customer) {
-	if _, ok := l.Terms.limit(customer); !ok {
+func (l *Limiter) CountRetry(now time.Time, customer *fleetpb.Customer) {
+	if _, ok := l.Params.limit(customer); !ok {
 		return
 	}
 	a := l.account(customer.GetName())
@@ -269,8 +269,8 @@
 }
 
 // Return gives back what was granted to a request that certainly did not run, and never will.
-func (l *Limiter) Return(now time.Time, customer *fleetpb.Customer) {
-	if _, ok := l.Terms.limit(customer); !ok {
+func (l *Limiter) Refund(now time.Time, customer *fleetpb.Customer) {
+	if _, ok := l.Params.limit(customer); !ok {
 		return
 	}
 	a := l.account(customer.GetName())
@@ -284,31 +284,31 @@
 }
 
 // Use is how many requests of a customer were let in.
-type Use struct {
+type AdmittedRequests struct {
 	Customer string
 	Requests uint64
 }
 
 // Uses returns how many requests of each customer were let in since the process began, but for those that a control
 // instance granted and has counted itself.
-func (l *Limiter) Uses(control string) []Use {
+func (l *Limiter) Admitted(control string) []AdmittedRequests {
 	return l.uses(func(a *account) uint64 { return a.let - a.granted[control] })
 }
 
 // Recent returns how many requests of each customer were let in within the window.
-func (l *Limiter) Recent(now time.Time) []Use {
+func (l *Limiter) RecentlyAdmitted(now time.Time) []AdmittedRequests {
 	at := l.since(now)
-	return l.uses(func(a *account) uint64 { return uint64(a.window.count(at, l.Terms.Window)) })
+	return l.uses(func(a *account) uint64 { return uint64(a.window.count(at, l.Params.Window)) })
 }
 
-func (l *Limiter) uses(count func(*account) uint64) []Use {
-	var out []Use
+func (l *Limiter) uses(count func(*account) uint64) []AdmittedRequests {
+	var out []AdmittedRequests
 	l.accounts.Range(func(name, value any) bool {
 		a := value.(*account)
 		a.mu.Lock()
 		defer a.mu.Unlock()
 		if n := count(a); n > 0 {
-			out = append(out, Use{Customer: name.(string), Requests: n})
+			out = append(out, AdmittedRequests{Customer: name.(string), Requests: n})
 		}
 		return true
 	})
--- a/rockbarrow/quota/quota.go
+++ b/rockbarrow/quota/quota.go
@@ -24,7 +24,7 @@
 )
 
 // Terms say how quotas are counted. They are the same for all customers.
-type Terms struct {
+type Params struct {
 	// Window is the span of time over which requests are counted; zero is no quota at all.
 	Window time.Duration
 	// Overrun and Slack are how much more than its limit may run of a customer: a part of it, and requests.
@@ -40,7 +40,7 @@
 )
 
 // limit returns how many requests of a customer may be let in within the window, or false if there is no bound.
-func (t Terms) limit(c *fleetpb.Customer) (limit float64, ok bool) {
+func (t Params) limit(c *fleetpb.Customer) (limit float64, ok bool) {
 	if t.Window <= 0 || c.GetRequestsPerSecond() <= 0 {
 		return 0, false
 	}
@@ -48,10 +48,10 @@
 }
 
 // most returns how many requests under a limit may run at all.
-func (t Terms) most(limit float64) float64 { return limit*(1+t.Overrun) + t.Slack }
+func (t Params) most(limit float64) float64 { return limit*(1+t.Overrun) + t.Slack }
 
 // bound returns how many requests under a limit the counter lets in.
-func (t Terms) bound(limit float64) float64 { return limit + counterShare*(t.most(limit)-limit) }
+func (t Params) bound(limit float64) float64 { return limit + counterShare*(t.most(limit)-limit) }
 
 // Decision is what becomes of requests: [Granted], [Refused] or [Unsure].
 type Decision interface{ decision() }
@@ -66,8 +66,8 @@
 }
 
 // Unsure says that nobody who knows the counts could be asked.
-type Unsure struct{}
+type Unavailable struct{}
 
-func (Granted) decision() {}
-func (Refused) decision() {}
-func (Unsure) decision()  {}
+func (Granted) decision()     {}
+func (Refused) decision()     {}
+func (Unavailable) decision() {}
--- a/rockbarrow/quota/quota_test.go
+++ b/rockbarrow/quota/quota_test.go
@@ -14,7 +14,7 @@
 	"rockbarrow.dev/schema/fleetpb"
 )
 
-var terms = Terms{Window: 5 * time.Second, Overrun: 0.1, Slack: 20}
+var terms = Params{Window: 5 * time.Second, Overrun: 0.1, Slack: 20}
 
 func customer(rate, burst float64) *fleetpb.Customer {
 	return &fleetpb.Customer{Name: "c", RequestsPerSecond: rate, Burst: burst}
@@ -57,8 +57,8 @@
 		limit, _ := terms.limit(c)
 		for _, modest := range []bool{false, true} {
 			k := newClock()
-			n := &Counter{Terms: terms}
-			n.Begin(k.now)
+			n := &Counter{Params: terms}
+			n.Start(k.now)
 			k.pass(terms.Window)
 			var let []time.Time
 			for step := range 6000 {
@@ -91,8 +91,8 @@
 // TestNewProgramsLeaveRoom: turns of programs under way are let in when new ones are not any more.
 func TestNewProgramsLeaveRoom(t *testing.T) {
 	k := newClock()
-	n := &Counter{Terms: terms}
-	n.Begin(k.now)
+	n := &Counter{Params: terms}
+	n.Start(k.now)
 	k.pass(terms.Window)
 	c := customer(20, 0)
 	for range 91 {
@@ -109,8 +109,8 @@
 // TestARefusalTellsWhenThereIsRoom: who comes back then is let in, also when several are refused.
 func TestARefusalTellsWhenThereIsRoom(t *testing.T) {
 	k := newClock()
-	n := &Counter{Terms: Terms{Window: 5 * time.Second}}
-	n.Begin(k.now)
+	n := &Counter{Params: Params{Window: 5 * time.Second}}
+	n.Start(k.now)
 	k.pass(5 * time.Second)
 	c := customer(10, 0)
 	for range 50 {
@@ -137,8 +137,8 @@
 // TestACounterThatHasJustBegunIsCareful: after a restart of all control instances, what was let in before is not known.
 func TestACounterThatHasJustBegunIsCareful(t *testing.T) {
 	k := newClock()
-	n := &Counter{Terms: terms}
-	n.Begin(k.now)
+	n := &Counter{Params: terms}
+	n.Start(k.now)
 	c := customer(353, 353)
 	limit, _ := terms.limit(c)
 	let := 0.0
@@ -164,14 +164,14 @@
 	customer *fleetpb.Customer
 }
 
-func newWorld(n int, way Way, c *fleetpb.Customer) *world {
-	w := &world{customer: c, clock: newClock(), counter: &Counter{Terms: terms}, told: make([]uint64, n), apart: map[int]bool{}}
-	w.counter.Begin(w.clock.now)
+func newWorld(n int, way Mode, c *fleetpb.Customer) *world {
+	w := &world{customer: c, clock: newClock(), counter: &Counter{Params: terms}, told: make([]uint64, n), apart: map[int]bool{}}
+	w.counter.Start(w.clock.now)
 	w.clock.pass(terms.Window)
 	for i := range n {
 		w.limiters = append(w.limiters, &Limiter{
-			Terms: terms, Way: way, Instance: fmt.Sprint("e", i), Entries: func() int { return n },
-			Ask: func(_ context.Context, req *fleetpb.AdmitRequest) (string, *fleetpb.AdmitReply, error) {
+			Params: terms, Mode: way, Instance: fmt.Sprint("e", i), EntryCount: func() int { return n },
+			AskControl: func(_ context.Context, req *fleetpb.AdmitRequest) (string, *fleetpb.AdmitReply, error) {
 				if w.apart[i] {
 					return "", nil, errors.New("cut off")
 				}
@@ -193,11 +193,11 @@
 	if w.apart[i] {
 		return
 	}
-	for _, u := range w.limiters[i].Uses("control") {
+	for _, u := range w.limiters[i].Admitted("control") {
 		w.counter.Add(w.clock.now, []*fleetpb.CustomerUse{{Customer: u.Customer, Requests: uint32(u.Requests - w.told[i])}})
 		w.told[i] = u.Requests
 	}
-	w.limiters[i].Receive(w.clock.now, w.counter.Counts(w.clock.now, func(string) *fleetpb.Customer { return w.customer }))
+	w.limiters[i].SetCounts(w.clock.now, w.counter.Counts(w.clock.now, func(string) *fleetpb.Customer { return w.customer }))
 }
 
 // newsEvery is how often a limiter in touch hears news.
@@ -275,7 +275,7 @@
 
 func newLone(answer func(*fleetpb.AdmitRequest) *fleetpb.AdmitReply) *lone {
 	l := &lone{}
-	l.Limiter = &Limiter{Terms: terms, Instance: "e", Entries: func() int { return 1 }, Ask: func(_ context.Context, req *fleetpb.AdmitRequest) (string, *fleetpb.AdmitReply, error) {
+	l.Limiter = &Limiter{Params: terms, Instance: "e", EntryCount: func() int { return 1 }, AskControl: func(_ context.Context, req *fleetpb.AdmitRequest) (string, *fleetpb.AdmitReply, error) {
 		l.asked++
 		return "control", answer(req), nil
 	}}
@@ -291,7 +291,7 @@
 // TestOldNewsGiveNoShares: an instance that hears nothing any more asks for each request.
 func TestOldNewsGiveNoShares(t *testing.T) {
 	k, l, c := newClock(), newLone(granted), customer(353, 353)
-	l.Receive(k.now, nil)
+	l.SetCounts(k.now, nil)
 	l.Admit(t.Context(), k.now, c, false)
 	if l.asked != 0 {
 		t.Fatal("fresh news gave no share")
@@ -307,7 +307,7 @@
 func TestNewProgramsHaveNoSharesNearTheLimit(t *testing.T) {
 	k, l, c := newClock(), newLone(granted), customer(353, 353)
 	limit, _ := terms.limit(c)
-	l.Receive(k.now, []*fleetpb.CustomerCount{{Customer: "c", Requests: uint32(0.95 * limit)}})
+	l.SetCounts(k.now, []*fleetpb.CustomerCount{{Customer: "c", Requests: uint32(0.95 * limit)}})
 	l.Admit(t.Context(), k.now, c, false)
 	if l.asked != 0 {
 		t.Fatal("a turn of a program under way had no share")
@@ -344,14 +344,14 @@
 // TestWhatIsGivenBackLastsShortly: it lets one request in, and none later than the window allows to.
 func TestWhatIsGivenBackLastsShortly(t *testing.T) {
 	k, l, c := newClock(), newLone(refused), customer(3, 3)
-	l.Return(k.now, c)
+	l.Refund(k.now, c)
 	if _, ok := l.Admit(t.Context(), k.now, c, false).(Granted); !ok || l.asked != 0 {
 		t.Error("what was given back lets nobody in")
 	}
 	if _, ok := l.Admit(t.Context(), k.now, c, false).(Refused); !ok {
 		t.Error("it lets two in")
 	}
-	l.Return(k.now, c)
+	l.Refund(k.now, c)
 	k.pass(refundTTL)
 	if _, ok := l.Admit(t.Context(), k.now, c, false).(Refused); !ok {
 		t.Error("it lets somebody in late")
@@ -360,7 +360,7 @@
 
 // BenchmarkAdmit is a request's part where nobody is asked, of 1,000 customers.
 func BenchmarkAdmit(b *testing.B) {
-	limiter := &Limiter{Terms: terms, Way: Even{}, Instance: "e", Entries: func() int { return 1 }}
+	limiter := &Limiter{Params: terms, Mode: Even{}, Instance: "e", EntryCount: func() int { return 1 }}
 	var all []*fleetpb.Customer
 	for i := range 1000 {
 		all = append(all, &fleetpb.Customer{Name: fmt.Sprint("c", i), RequestsPerSecond: 1e8, Burst: 1})
--- a/rockbench/quotas.go
+++ b/rockbench/quotas.go
@@ -40,7 +40,7 @@
 	return w.Flush()
 }
 
-func (o quotasOptions) mean(s quotas.Scenario, way quota.Way) quotas.Result {
+func (o quotasOptions) mean(s quotas.Scenario, way quota.Mode) quotas.Result {
 	var sum quotas.Result
 	n := float64(max(1, o.seeds))
 	for i := range max(1, o.seeds) {
--- a/rockbench/quotas/quotas.go
+++ b/rockbench/quotas/quotas.go
@@ -32,11 +32,11 @@
 )
 
 // Terms are those of all scenarios.
-var Terms = quota.Terms{Window: 5 * time.Second, Overrun: 0.1, Slack: 20}
+var Terms = quota.Params{Window: 5 * time.Second, Overrun: 0.1, Slack: 20}
 
 // Ways are the ways that are compared, by name.
-func Ways() map[string]quota.Way {
-	return map[string]quota.Way{"shared": quota.Shared{}, "central": quota.Central{}, "estimated": quota.Estimated{}, "even": quota.Even{}}
+func Ways() map[string]quota.Mode {
+	return map[string]quota.Mode{"shared": quota.Shared{}, "central": quota.Central{}, "estimated": quota.Estimated{}, "even": quota.Even{}}
 }
 
 // Scenario is a customer and what befalls the instances that serve it.
@@ -112,11 +112,11 @@
 }
 
 // Run plays a scenario.
-func Run(s Scenario, way quota.Way, seed uint64) Result {
-	p := &play{scenario: s, r: rand.New(rand.NewPCG(seed, 3)), now: time.Now(), counter: &quota.Counter{Terms: Terms}}
+func Run(s Scenario, way quota.Mode, seed uint64) Result {
+	p := &play{scenario: s, r: rand.New(rand.NewPCG(seed, 3)), now: time.Now(), counter: &quota.Counter{Params: Terms}}
 	p.began = p.now
 	p.customer = &fleetpb.Customer{Name: "c", RequestsPerSecond: s.Rate, Burst: s.Burst}
-	p.counter.Begin(p.now.Add(-Terms.Window))
+	p.counter.Start(p.now.Add(-Terms.Window))
 	for i := range s.Entries {
 		p.instances = append(p.instances, p.newInstance(i, way))
 	}
@@ -168,11 +168,11 @@
 	return p.instances[p.r.IntN(len(p.instances))]
 }
 
-func (p *play) newInstance(i int, way quota.Way) *instance {
+func (p *play) newInstance(i int, way quota.Mode) *instance {
 	t := &instance{next: p.now.Add(time.Duration(p.r.Int64N(int64(newsEvery))))}
 	t.Limiter = &quota.Limiter{
-		Terms: Terms, Way: way, Instance: fmt.Sprint("e", i), Entries: func() int { return p.scenario.Entries },
-		Ask: func(_ context.Context, req *fleetpb.AdmitRequest) (string, *fleetpb.AdmitReply, error) {
+		Params: Terms, Mode: way, Instance: fmt.Sprint("e", i), EntryCount: func() int { return p.scenario.Entries },
+		AskControl: func(_ context.Context, req *fleetpb.AdmitRequest) (string, *fleetpb.AdmitReply, error) {
 			p.asked++
 			if t.apart {
 				return "", nil, errors.New("quotas: cut off")
@@ -190,15 +190,15 @@
 }
 
 func (p *play) exchange(t *instance) {
-	for _, u := range t.Uses("control") {
+	for _, u := range t.Admitted("control") {
 		p.counter.Add(p.now, []*fleetpb.CustomerUse{{Customer: u.Customer, Requests: uint32(u.Requests - t.told)}})
 		t.told = u.Requests
 	}
-	t.Receive(p.now, p.counter.Counts(p.now, func(string) *fleetpb.Customer { return p.customer }))
+	t.SetCounts(p.now, p.counter.Counts(p.now, func(string) *fleetpb.Customer { return p.customer }))
 	t.next = p.now.Add(newsEvery + time.Duration(p.r.Int64N(int64(newsLate))))
 }
 
-func (p *play) disturb(at time.Duration, way quota.Way) {
+func (p *play) disturb(at time.Duration, way quota.Mode) {
 	s := p.scenario
 	switch at {
 	case begin:
@@ -209,9 +209,9 @@
 			p.instances[i] = p.newInstance(i, way)
 		}
 		if s.Forget {
-			p.counter.Begin(p.now)
+			p.counter.Start(p.now)
 			for _, t := range p.instances {
-				for _, u := range t.Recent(p.now) {
+				for _, u := range t.RecentlyAdmitted(p.now) {
 					p.counter.Add(p.now, []*fleetpb.CustomerUse{{Customer: u.Customer, Requests: uint32(u.Requests), Earlier: true}})
 				}
 			}
@@ -221,9 +221,9 @@
 			p.lowered = p.now
 		}
 	case noticed:
-		p.counter.Miss(share(s.Apart, s.Entries))
+		p.counter.SetMissingShare(share(s.Apart, s.Entries))
 	case end:
-		p.counter.Miss(0)
+		p.counter.SetMissingShare(0)
 		for _, t := range p.instances {
 			t.apart = false
 		}
--- a/rockbench/soak/customers.go
+++ b/rockbench/soak/customers.go
@@ -36,7 +36,7 @@
 )
 
 // quotaTerms are the terms of all quotas.
-var quotaTerms = quota.Terms{Window: 5 * time.Second, Overrun: 0.1, Slack: 20}
+var quotaTerms = quota.Params{Window: 5 * time.Second, Overrun: 0.1, Slack: 20}
 
 // customers are those of the configuration.
 type customers struct {
