--- a/rockbarrow/controller/controller.go
+++ b/rockbarrow/controller/controller.go
@@ -77,7 +77,7 @@
 	Decode func(document []byte) (*fleetpb.Document, error)
 	Log    *logrus.Entry
 	// QuotaTerms configure the enforcement of customer quotas.
-	QuotaTerms quota.Terms
+	QuotaTerms quota.Params
 
 	watch *watch.Client
 	// processID identifies this process to entry instances, so that they detect a restart.
@@ -161,8 +161,8 @@
 	c.proposalSlot = make(chan struct{}, 1)
 	c.listTag = rand.Uint64N(1 << tagBits)
 	c.processID = rand.Uint64()
-	c.quotas.Terms = c.QuotaTerms
-	c.quotas.Begin(time.Now())
+	c.quotas.Params = c.QuotaTerms
+	c.quotas.Start(time.Now())
 	c.update = make(chan struct{})
 	return nil
 }
--- a/rockbarrow/controller/customers_test.go
+++ b/rockbarrow/controller/customers_test.go
@@ -97,8 +97,8 @@
 // requests.
 func TestInstancesThatAreNotHeardKeepTheirShares(t *testing.T) {
 	p := startCluster(t)[0]
-	p.controller.quotas.Terms = quota.Terms{Window: 1024 * time.Second}
-	p.controller.quotas.Begin(time.Now().Add(-time.Hour))
+	p.controller.quotas.Params = quota.Params{Window: 1024 * time.Second}
+	p.controller.quotas.Start(time.Now().Add(-time.Hour))
 	putConfiguration(t, p, 1, keyedDocument(t, 1))
 	waitFor(t, func() bool { return p.controller.RoutingTable().Customers() == 2 })
 	now := time.Now()
@@ -139,8 +139,8 @@
 // Reported and granted requests must count against the quota and be visible to operators.
 func TestCustomersAreCountedByControl(t *testing.T) {
 	p := startCluster(t)[0]
-	p.controller.quotas.Terms = quota.Terms{Window: 1024 * time.Second}
-	p.controller.quotas.Begin(time.Now().Add(-time.Hour))
+	p.controller.quotas.Params = quota.Params{Window: 1024 * time.Second}
+	p.controller.quotas.Start(time.Now().Add(-time.Hour))
 	putConfiguration(t, p, 1, keyedDocument(t, 1))
 	waitFor(t, func() bool { return p.controller.RoutingTable().Customers() == 2 })
 	admit := func(customer string) *fleetpb.AdmitReply {
--- a/rockbarrow/controller/updates.go
+++ b/rockbarrow/controller/updates.go
@@ -117,7 +117,7 @@
 	h.controlChecksum = membersChecksum(h.control)
 	h.entryDomains, h.presentEntries = c.presence.entryDomains(now)
 	c.memberSummaryCache.Store(h)
-	c.quotas.Miss(silentShare(h.entryDomains))
+	c.quotas.SetMissingShare(silentShare(h.entryDomains))
 	return h
 }
 
