--- a/rockbarrow/entry/domains.go
+++ b/rockbarrow/entry/domains.go
@@ -102,7 +102,7 @@
 	} else {
 		e.lostSince.CompareAndSwap(0, time.Now().UnixNano())
 	}
-	out := e.Stores.DomainsOut()
+	out := e.Stores.UnreachableDomains()
 	out = slices.DeleteFunc(out, func(domain string) bool { return domain == e.Domain || e.Watch.ReachesDomain(domain) })
 	if e.domains.set(out) {
 		e.Log.WithField("failure_domains", out).Info("failure domains out of reach have changed")
--- a/rockbarrow/entry/entry_test.go
+++ b/rockbarrow/entry/entry_test.go
@@ -90,7 +90,7 @@
 	t.Cleanup(pool.Close)
 	e := &Entry{
 		Domain: "a", Watch: w, Sender: sender, Log: w.Log, Metrics: tally.NoopScope, Lease: &lease.Lease{}, Quota: &quota.Limiter{},
-		Stores: &stores.Client{Watch: w, Pool: pool, Turns: &stores.Cache{Bytes: 1 << 16}},
+		Stores: &stores.Client{Watch: w, Pool: pool, TurnCache: &stores.Cache{MaxBytes: 1 << 16}},
 		Decode: func([]byte) (*fleetpb.Document, error) { return document(), nil },
 	}
 	e.Init()
--- a/rockbarrow/entry/turn.go
+++ b/rockbarrow/entry/turn.go
@@ -46,8 +46,8 @@
 func (x *exchange) reservation() stores.Turn {
 	r := x.request
 	t := stores.Turn{
-		ID: r.ID, Program: r.Program, Customer: x.customer.GetName(), Previous: r.Previous, Most: r.Most, Budget: r.Budget,
-		Retain: time.Duration(x.route.GetRetainMs()) * time.Millisecond,
+		ID: r.ID, Program: r.Program, Customer: x.customer.GetName(), Previous: r.Previous, MaxTokens: r.Most, Budget: r.Budget,
+		Retention: time.Duration(x.route.GetRetainMs()) * time.Millisecond,
 	}
 	if t.Program == "" {
 		// A turn outside any program is a program of its own.
@@ -63,7 +63,7 @@
 func (x *exchange) reserve(ctx context.Context, t stores.Turn) (*stores.Grant, Outcome) {
 	start := time.Now()
 	defer func() { x.own += time.Since(start) }()
-	if !x.entry.Stores.Reaches(t.Program) {
+	if !x.entry.Stores.ProgramReachable(t.Program) {
 		return nil, Refused{Status: http.StatusServiceUnavailable, RetryAfter: x.entry.retryElsewhere(time.Now()), Reason: "most stores are out of reach"}
 	}
 	ctx, cancel := context.WithTimeout(ctx, reserveWithin)
@@ -107,12 +107,12 @@
 	_, answered := o.(Answered)
 	switch {
 	case !x.ran:
-		x.entry.Stores.Void(ctx, x.grant)
+		x.entry.Stores.Release(ctx, x.grant)
 	case x.started && answered && x.way.history:
 		return x.keep(ctx)
 	case x.started || answered:
 		x.entry.lines.add(x.request.Program, x.request.Line, x.endpoint)
-		x.entry.Stores.SettleLater(ctx, x.grant, x.spent(answered), x.endpoint)
+		x.entry.Stores.SettleAsync(ctx, x.grant, x.spent(answered), x.endpoint)
 	}
 	return o
 }
--- a/rockbarrow/entry/way_test.go
+++ b/rockbarrow/entry/way_test.go
@@ -95,9 +95,9 @@
 func awaitRoom(t *testing.T, e *Entry, program string, most, budget uint64) {
 	t.Helper()
 	for n := 0; ; n++ {
-		g, err := e.Stores.Reserve(t.Context(), stores.Turn{ID: fmt.Sprint("look-", budget, "-", n), Program: program, Most: most, Budget: budget})
+		g, err := e.Stores.Reserve(t.Context(), stores.Turn{ID: fmt.Sprint("look-", budget, "-", n), Program: program, MaxTokens: most, Budget: budget})
 		if err == nil {
-			e.Stores.Void(t.Context(), g)
+			e.Stores.Release(t.Context(), g)
 			return
 		}
 		if t.Context().Err() != nil {
@@ -153,7 +153,7 @@
 				t.Errorf("%s: %#v, status %d, %d offers, body %q", test.name, o, status, len(s.offers), out.body.String())
 			}
 			if test.whole && test.path == "kr" {
-				g, err := e.Stores.Reserve(t.Context(), stores.Turn{ID: "next", Program: id, Previous: id, Most: 1})
+				g, err := e.Stores.Reserve(t.Context(), stores.Turn{ID: "next", Program: id, Previous: id, MaxTokens: 1})
 				if err != nil || string(g.History()[0].GetOutput()) != "d1\nd2\nd3\n" {
 					t.Errorf("%s: %v, kept %q", test.name, err, g.History()[0].GetOutput())
 				}
--- a/rockbarrow/stores/cache.go
+++ b/rockbarrow/stores/cache.go
@@ -15,8 +15,8 @@
 // Cache keeps the turns seen lately, up to a number of bytes. Turns never
 // change, so that what it returns is always right.
 type Cache struct {
-	// Bytes bounds the cache.
-	Bytes int
+	// MaxBytes bounds the cache.
+	MaxBytes int
 
 	mu    sync.Mutex
 	used  int
@@ -48,7 +48,7 @@
 	}
 	c.byID[t.GetId()] = c.order.PushFront(t)
 	c.used += weigh(t)
-	for c.used > c.Bytes && c.order.Len() > 1 {
+	for c.used > c.MaxBytes && c.order.Len() > 1 {
 		old := c.order.Remove(c.order.Back()).(*fleetpb.Turn)
 		delete(c.byID, old.GetId())
 		c.used -= weigh(old)
--- a/rockbarrow/stores/client.go
+++ b/rockbarrow/stores/client.go
@@ -32,11 +32,11 @@
 	Pool  *dial.Pool
 	// Domain is the own failure domain, whose stores are asked for histories.
 	Domain string
-	// Turns are those seen lately.
-	Turns *Cache
-	// HedgeAfter is how long a quorum that was asked first may take before the other stores are asked too; zero means
+	// TurnCache holds the turns seen lately.
+	TurnCache *Cache
+	// HedgeDelay is how long a quorum that was asked first may take before the other stores are asked too; zero means
 	// the default.
-	HedgeAfter time.Duration
+	HedgeDelay time.Duration
 
 	health  health
 	samples samples
@@ -51,12 +51,12 @@
 	reservation string
 	// Previous is the turn that it goes on from, or "".
 	Previous string
-	// Most is how many tokens it may generate.
-	Most uint64
+	// MaxTokens is how many tokens it may generate.
+	MaxTokens uint64
 	// Budget bounds the tokens of all turns of the program; zero is no bound.
 	Budget uint64
-	// Retain is how long turns are kept.
-	Retain time.Duration
+	// Retention is how long turns are kept.
+	Retention time.Duration
 }
 
 // Grant is what a turn may go on with.
@@ -97,15 +97,15 @@
 
 func (c *Client) reserve(ctx context.Context, t Turn) (*Grant, error) {
 	g := &Grant{turn: t, home: t.Program}
-	seen := newSeen(c.Turns)
+	seen := newSeen(c.TurnCache)
 	used, err := c.reserveTokens(ctx, g, seen)
 	if err != nil {
 		c.void(ctx, t)
 		return nil, err
 	}
-	if t.Budget > 0 && used+t.Most > t.Budget {
+	if t.Budget > 0 && used+t.MaxTokens > t.Budget {
 		c.void(ctx, t)
-		return nil, &OverBudgetError{Budget: t.Budget, Used: used, Most: t.Most}
+		return nil, &OverBudgetError{Budget: t.Budget, Used: used, MaxTokens: t.MaxTokens}
 	}
 	if t.Previous == "" {
 		return g, nil
@@ -134,8 +134,8 @@
 			func() bool { return c.cannotReachQuorum(t.Program) },
 			func(ctx context.Context, s fleetpb.StoreClient, m *fleetpb.Member) (*fleetpb.ReserveReply, *fleetpb.StoreStatus, error) {
 				r, err := s.Reserve(ctx, &fleetpb.ReserveRequest{
-					Epoch: view.GetEpoch(), Storage: m.GetStorage(), Program: t.Program, Turn: t.reservation, Tokens: t.Most,
-					Previous: t.Previous, Chain: wanted && m == asked, RetainMs: uint64(t.Retain.Milliseconds()),
+					Epoch: view.GetEpoch(), Storage: m.GetStorage(), Program: t.Program, Turn: t.reservation, Tokens: t.MaxTokens,
+					Previous: t.Previous, Chain: wanted && m == asked, RetainMs: uint64(t.Retention.Milliseconds()),
 				})
 				return r, r.GetStatus(), err
 			},
@@ -192,15 +192,15 @@
 	return members[0]
 }
 
-// Void gives a reservation back whose turn certainly did not run. It works in
+// Release gives a reservation back whose turn certainly did not run. It works in
 // the background: until it is done, the program's budget is a little smaller.
-func (c *Client) Void(ctx context.Context, g *Grant) { c.void(ctx, g.turn) }
+func (c *Client) Release(ctx context.Context, g *Grant) { c.void(ctx, g.turn) }
 
 func (c *Client) void(ctx context.Context, t Turn) { c.settleLater(ctx, t, 0, life.Life{}) }
 
-// SettleLater stores in the background what a turn has spent that is not kept itself,
+// SettleAsync stores in the background what a turn has spent that is not kept itself,
 // and which endpoint served it. Until it is done, the reservation counts at its most.
-func (c *Client) SettleLater(ctx context.Context, g *Grant, spent uint64, endpoint life.Life) {
+func (c *Client) SettleAsync(ctx context.Context, g *Grant, spent uint64, endpoint life.Life) {
 	c.settleLater(ctx, g.turn, spent, endpoint)
 }
 
@@ -232,7 +232,7 @@
 	return &fleetpb.SettleRequest{
 		Program:     t.Program,
 		Reservation: &fleetpb.Reservation{Turn: t.reservation, Tokens: spent, Settled: true, Endpoint: endpoint.ID, BornMs: endpoint.BornMS},
-		RetainMs:    uint64(t.Retain.Milliseconds()),
+		RetainMs:    uint64(t.Retention.Milliseconds()),
 	}
 }
 
@@ -253,7 +253,7 @@
 		return err
 	}
 	if done != nil {
-		c.Turns.Add(done)
+		c.TurnCache.Add(done)
 	}
 	return nil
 }
--- a/rockbarrow/stores/errors.go
+++ b/rockbarrow/stores/errors.go
@@ -7,13 +7,13 @@
 // OverBudgetError says that a turn does not fit into its program's budget.
 type OverBudgetError struct {
 	// Budget is the program's, Used what its other turns have spent or reserved,
-	// and Most what this one may generate, in tokens.
-	Budget, Used, Most uint64
+	// and MaxTokens what this one may generate, in tokens.
+	Budget, Used, MaxTokens uint64
 }
 
 // Error describes the sum.
 func (e *OverBudgetError) Error() string {
-	return fmt.Sprintf("stores: %d tokens used and %d wanted of a budget of %d", e.Used, e.Most, e.Budget)
+	return fmt.Sprintf("stores: %d tokens used and %d wanted of a budget of %d", e.Used, e.MaxTokens, e.Budget)
 }
 
 // UnknownTurnError says that no store holds a turn, and that they would.
--- a/rockbarrow/stores/export_test.go
+++ b/rockbarrow/stores/export_test.go
@@ -2,5 +2,7 @@
 
 package stores
 
-// Proven reports whether all stores have answered their last calls.
-func (c *Client) Proven() bool { return c.health.allProven(c.Watch.State().GetView().GetMembers()) }
+// AllAnswered reports whether all stores have answered their last calls.
+func (c *Client) AllAnswered() bool {
+	return c.health.allProven(c.Watch.State().GetView().GetMembers())
+}
--- a/rockbarrow/stores/group_test.go
+++ b/rockbarrow/stores/group_test.go
@@ -148,7 +148,7 @@
 	w.Offer(g.state)
 	pool := &dial.Pool{}
 	g.t.Cleanup(pool.Close)
-	return &stores.Client{Watch: w, Pool: pool, Domain: "domain-1", Turns: &stores.Cache{Bytes: 1 << 20}}
+	return &stores.Client{Watch: w, Pool: pool, Domain: "domain-1", TurnCache: &stores.Cache{MaxBytes: 1 << 20}}
 }
 
 // change brings another state into force everywhere.
--- a/rockbarrow/stores/health_test.go
+++ b/rockbarrow/stores/health_test.go
@@ -38,7 +38,7 @@
 	}
 	lose(3, 6)
 	for i := range 100 {
-		if !c.Reaches(fmt.Sprint("program-", i)) {
+		if !c.ProgramReachable(fmt.Sprint("program-", i)) {
 			t.Fatalf("program %d has no quorum without one failure domain", i)
 		}
 	}
@@ -70,10 +70,10 @@
 	w.Offer(&fleetpb.State{Number: 1, View: &fleetpb.View{Epoch: 1, Copies: 3, Members: members}})
 	pool := &dial.Pool{}
 	t.Cleanup(pool.Close)
-	c := &Client{Watch: w, Pool: pool, Turns: &Cache{Bytes: 1}}
+	c := &Client{Watch: w, Pool: pool, TurnCache: &Cache{MaxBytes: 1}}
 	given := make(chan error, 1)
 	go func() {
-		_, err := c.Reserve(t.Context(), Turn{ID: "1", Program: "p", Most: 1})
+		_, err := c.Reserve(t.Context(), Turn{ID: "1", Program: "p", MaxTokens: 1})
 		given <- err
 	}()
 	for _, m := range members[:2] {
--- a/rockbarrow/stores/quorum.go
+++ b/rockbarrow/stores/quorum.go
@@ -20,7 +20,7 @@
 	// retryPause lies between two tries with a quorum, under another view or when
 	// stores were still copying.
 	retryPause = 15 * time.Millisecond
-	// hedgeAfter is the default of [Client.HedgeAfter]: a call takes some 5 ms.
+	// hedgeAfter is the default of [Client.HedgeDelay]: a call takes some 5 ms.
 	hedgeAfter = 10 * time.Millisecond
 )
 
@@ -101,7 +101,7 @@
 ) (outcome, string) {
 	a := &asking[R]{client: c, call: call, answers: make(chan answer[R], len(members)), rest: members}
 	a.ask(ctx, first)
-	hedge := time.NewTimer(cmp.Or(c.HedgeAfter, hedgeAfter))
+	hedge := time.NewTimer(cmp.Or(c.HedgeDelay, hedgeAfter))
 	defer hedge.Stop()
 	reason := "no store answered"
 	for heard := 0; heard < len(members); {
--- a/rockbarrow/stores/quorum_test.go
+++ b/rockbarrow/stores/quorum_test.go
@@ -20,7 +20,7 @@
 // the settlement holds on whichever stores are left.
 func TestAReservationAsksAQuorumFirst(t *testing.T) {
 	g := newGroup(t)
-	g.client.HedgeAfter = time.Hour
+	g.client.HedgeDelay = time.Hour
 	asked := func(program string) (n int) {
 		for _, p := range g.places {
 			n += p.reserves.of(program)
@@ -28,27 +28,27 @@
 		return n
 	}
 	reserve := func(program string) {
-		g.must(g.run(g.client, stores.Turn{ID: program + "-1", Program: program, Most: 10, Budget: 100}, 10))
+		g.must(g.run(g.client, stores.Turn{ID: program + "-1", Program: program, MaxTokens: 10, Budget: 100}, 10))
 	}
 	reserve("p")
-	for !g.client.Proven() {
+	for !g.client.AllAnswered() {
 		pauseBriefly()
 	}
 	const turns = 20
 	for i := range turns {
-		g.must(g.run(g.client, stores.Turn{ID: fmt.Sprint("q", i), Program: "q", Most: 1, Budget: 100}, 1))
+		g.must(g.run(g.client, stores.Turn{ID: fmt.Sprint("q", i), Program: "q", MaxTokens: 1, Budget: 100}, 1))
 	}
 	if n := asked("q"); n != 2*turns {
 		t.Errorf("%d questions for %d reservations of a quorum of two", n, turns)
 	}
 	g.places[1].stop()
-	grant, err := g.client.Reserve(t.Context(), stores.Turn{ID: "2", Program: "p", Previous: "p-1", Most: 10, Budget: 100})
+	grant, err := g.client.Reserve(t.Context(), stores.Turn{ID: "2", Program: "p", Previous: "p-1", MaxTokens: 10, Budget: 100})
 	g.must(err)
 	if want := "in p-1\nout p-1\n"; history(grant) != want {
 		t.Errorf("with a store gone: history %q, want %q", history(grant), want)
 	}
 	var over *stores.OverBudgetError
-	if _, err := g.client.Reserve(t.Context(), stores.Turn{ID: "3", Program: "p", Most: 81, Budget: 100}); !errors.As(err, &over) {
+	if _, err := g.client.Reserve(t.Context(), stores.Turn{ID: "3", Program: "p", MaxTokens: 81, Budget: 100}); !errors.As(err, &over) {
 		t.Errorf("%v: what was settled before is forgotten", err)
 	}
 }
@@ -57,34 +57,34 @@
 func TestBeforeStoresAreChosenNothingIsReserved(t *testing.T) {
 	w := &watch.Client{Self: &fleetpb.Member{Instance: "entry"}, Log: quiet()}
 	w.Offer(&fleetpb.State{Number: 1, View: &fleetpb.View{Epoch: 1, Copies: 3}})
-	c := &stores.Client{Watch: w, Pool: &dial.Pool{}, Turns: &stores.Cache{Bytes: 1 << 10}}
+	c := &stores.Client{Watch: w, Pool: &dial.Pool{}, TurnCache: &stores.Cache{MaxBytes: 1 << 10}}
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	var unavailable *stores.UnavailableError
-	if _, err := c.Reserve(ctx, stores.Turn{ID: "1", Program: "p", Most: 1}); !errors.As(err, &unavailable) {
+	if _, err := c.Reserve(ctx, stores.Turn{ID: "1", Program: "p", MaxTokens: 1}); !errors.As(err, &unavailable) {
 		t.Errorf("%v, want an UnavailableError", err)
 	}
 }
 
 func TestOneLostStoreCostsNothingTwoAreToldAsUnavailable(t *testing.T) {
 	g := newGroup(t)
-	g.must(g.run(g.client, stores.Turn{ID: "1", Program: "p", Most: 10}, 5))
+	g.must(g.run(g.client, stores.Turn{ID: "1", Program: "p", MaxTokens: 10}, 5))
 	g.places[0].stop()
-	g.must(g.run(g.newClient(), stores.Turn{ID: "2", Program: "p", Previous: "1", Most: 10}, 5))
+	g.must(g.run(g.newClient(), stores.Turn{ID: "2", Program: "p", Previous: "1", MaxTokens: 10}, 5))
 	var unknown *stores.UnknownTurnError
-	if err := g.run(g.client, stores.Turn{ID: "x", Program: "p", Previous: "forged", Most: 10}, 5); !errors.As(err, &unknown) {
+	if err := g.run(g.client, stores.Turn{ID: "x", Program: "p", Previous: "forged", MaxTokens: 10}, 5); !errors.As(err, &unknown) {
 		t.Errorf("%v, want an unknown turn", err)
 	}
 	g.places[1].stop()
 	var unavailable *stores.UnavailableError
 	c := g.newClient()
-	if _, err := c.Reserve(shortly(t), stores.Turn{ID: "3", Program: "p", Previous: "2", Most: 10}); !errors.As(err, &unavailable) {
+	if _, err := c.Reserve(shortly(t), stores.Turn{ID: "3", Program: "p", Previous: "2", MaxTokens: 10}); !errors.As(err, &unavailable) {
 		t.Errorf("%v, want unavailable stores, never an unknown turn", err)
 	}
 	if c.Reachable() {
 		t.Error("two of three stores are lost and a majority counts as reachable")
 	}
-	if !g.newClient().Reaches("p") {
+	if !g.newClient().ProgramReachable("p") {
 		t.Error("a program whose stores were not called yet is refused")
 	}
 }
@@ -154,14 +154,14 @@
 	// Its probes have failed by the time they have had their longest.
 	pause := time.NewTimer(2 * probesFail)
 	<-pause.C
-	if !c.Reaches("p") {
+	if !c.ProgramReachable("p") {
 		t.Fatal("turns are refused at once for stores that may be starting")
 	}
 	for _, p := range g.places {
 		p.start()
 	}
 	g.spread()
-	g.must(g.run(c, stores.Turn{ID: "1", Program: "p", Most: 10}, 5))
+	g.must(g.run(c, stores.Turn{ID: "1", Program: "p", MaxTokens: 10}, 5))
 }
 
 // probesFail is more than a probe takes to fail at an address where nobody listens.
--- a/rockbarrow/stores/reach.go
+++ b/rockbarrow/stores/reach.go
@@ -36,9 +36,9 @@
 	return 2*reached >= sampled
 }
 
-// Reaches reports whether a program's records can be read and written, as far as
+// ProgramReachable reports whether a program's records can be read and written, as far as
 // calls have told: a store that was not called yet may be there.
-func (c *Client) Reaches(program string) bool {
+func (c *Client) ProgramReachable(program string) bool {
 	v := c.Watch.State().GetView()
 	return v != nil && (c.health.allThere() || reaches(v, program, func(m *fleetpb.Member) bool { return c.health.isOut(m.GetStorage()) }))
 }
@@ -86,8 +86,8 @@
 	return n
 }
 
-// DomainsOut returns the failure domains of which no store answers, and some did not answer a call.
-func (c *Client) DomainsOut() []string {
+// UnreachableDomains returns the failure domains of which no store answers, and some did not answer a call.
+func (c *Client) UnreachableDomains() []string {
 	if c.health.allThere() {
 		return nil
 	}
--- a/rockbarrow/stores/sample_test.go
+++ b/rockbarrow/stores/sample_test.go
@@ -72,19 +72,19 @@
 		t.Error("two of five failure domains answer")
 	}
 	answer("domain-2", "domain-3", "domain-4")
-	if !c.Reachable() || len(c.DomainsOut()) != 0 {
+	if !c.Reachable() || len(c.UnreachableDomains()) != 0 {
 		t.Error("all that were asked answer")
 	}
 	// One store of a domain is no sign of a cut; all that are known are.
 	for i, m := range c.samples.of(v, c.Watch.Self) {
 		if m.GetFailureDomain() == "domain-3" {
 			c.health.set(m.GetStorage(), true)
-			if i == 0 && len(c.DomainsOut()) != 0 {
-				t.Errorf("%v are out", c.DomainsOut())
+			if i == 0 && len(c.UnreachableDomains()) != 0 {
+				t.Errorf("%v are out", c.UnreachableDomains())
 			}
 		}
 	}
-	if got := c.DomainsOut(); len(got) != 1 || got[0] != "domain-3" || !c.Reachable() {
+	if got := c.UnreachableDomains(); len(got) != 1 || got[0] != "domain-3" || !c.Reachable() {
 		t.Errorf("%v are out, and others can be written: %v", got, c.Reachable())
 	}
 }
--- a/rockbarrow/stores/turns_test.go
+++ b/rockbarrow/stores/turns_test.go
@@ -17,11 +17,11 @@
 
 func TestHistoryIsTheSameForEveryEntry(t *testing.T) {
 	g := newGroup(t)
-	g.must(g.run(g.client, stores.Turn{ID: "1", Program: "p", Most: 10}, 5))
-	g.must(g.run(g.newClient(), stores.Turn{ID: "2", Program: "p", Previous: "1", Most: 10}, 5))
+	g.must(g.run(g.client, stores.Turn{ID: "1", Program: "p", MaxTokens: 10}, 5))
+	g.must(g.run(g.newClient(), stores.Turn{ID: "2", Program: "p", Previous: "1", MaxTokens: 10}, 5))
 	// Another program goes on from the turn of the first.
-	g.must(g.run(g.newClient(), stores.Turn{ID: "3", Program: "q", Previous: "2", Most: 10}, 5))
-	grant, err := g.newClient().Reserve(context.Background(), stores.Turn{ID: "4", Program: "r", Previous: "3", Most: 10})
+	g.must(g.run(g.newClient(), stores.Turn{ID: "3", Program: "q", Previous: "2", MaxTokens: 10}, 5))
+	grant, err := g.newClient().Reserve(context.Background(), stores.Turn{ID: "4", Program: "r", Previous: "3", MaxTokens: 10})
 	g.must(err)
 	want := "in 1\nout 1\nin 2\nout 2\nin 3\nout 3\n"
 	if got := history(grant); got != want || grant.Home() != "p" {
@@ -35,7 +35,7 @@
 	g := newGroup(t)
 	one, other := g.newClient(), g.newClient()
 	keep := func(id, customer string) {
-		grant, err := one.Reserve(t.Context(), stores.Turn{ID: id, Program: "p", Customer: customer, Most: 1, Retain: time.Minute})
+		grant, err := one.Reserve(t.Context(), stores.Turn{ID: id, Program: "p", Customer: customer, MaxTokens: 1, Retention: time.Minute})
 		g.must(err)
 		g.must(one.Settle(t.Context(), grant, 1, &fleetpb.Turn{Id: id, Home: grant.Home(), Input: []byte("in"), Customer: customer, RetainMs: 60_000}))
 	}
@@ -46,7 +46,7 @@
 			previous, customer string
 			known              bool
 		}{{"of-a", "a", true}, {"of-a", "b", false}, {"of-a", "", false}, {"of-nobody", "b", true}, {"of-nobody", "", true}} {
-			_, err := c.Reserve(t.Context(), stores.Turn{ID: test.previous + "/" + test.customer, Program: "p", Customer: test.customer, Previous: test.previous, Most: 1, Retain: time.Minute})
+			_, err := c.Reserve(t.Context(), stores.Turn{ID: test.previous + "/" + test.customer, Program: "p", Customer: test.customer, Previous: test.previous, MaxTokens: 1, Retention: time.Minute})
 			var unknown *stores.UnknownTurnError
 			if errors.As(err, &unknown) == test.known {
 				t.Errorf("customer %q goes on from %s: %v", test.customer, test.previous, err)
@@ -57,7 +57,7 @@
 
 func TestBudgetHoldsOverEntries(t *testing.T) {
 	g := newGroup(t)
-	turn := func(id string) stores.Turn { return stores.Turn{ID: id, Program: "p", Most: 100, Budget: 250} }
+	turn := func(id string) stores.Turn { return stores.Turn{ID: id, Program: "p", MaxTokens: 100, Budget: 250} }
 	g.must(g.run(g.client, turn("1"), 100))
 	g.must(g.run(g.newClient(), turn("2"), 40))
 	// 140 are spent; one more of at most 100 fits, two at once do not.
@@ -80,7 +80,7 @@
 	for i := range 12 {
 		c := g.newClient()
 		running.Go(func() {
-			_, err := c.Reserve(context.Background(), stores.Turn{ID: fmt.Sprint(i), Program: "p", Most: 100, Budget: 500})
+			_, err := c.Reserve(context.Background(), stores.Turn{ID: fmt.Sprint(i), Program: "p", MaxTokens: 100, Budget: 500})
 			mu.Lock()
 			defer mu.Unlock()
 			if err == nil {
