--- a/rockbarrow/controller/duties.go
+++ b/rockbarrow/controller/duties.go
@@ -175,15 +175,15 @@
 // reconcile makes one step towards the view and the voters that should be.
 func (d *duties) reconcile(ctx context.Context, now time.Time) {
 	c := d.controller
-	p := membership.Plan{
-		Now:     now,
-		Stores:  c.presence.members(now, fleetpb.Role_ROLE_STORE, forgetAfter),
-		Control: c.presence.members(now, fleetpb.Role_ROLE_CONTROL, forgetAfter),
-		Domains: c.presence.domains(now, c.Self.GetFailureDomain()),
-		Copies:  2*c.FaultTolerance + 1,
-		Settled: d.settled(now),
-		Self:    c.Self,
-		Ran:     now.Sub(d.started),
+	p := membership.Planner{
+		Now:          now,
+		Stores:       c.presence.members(now, fleetpb.Role_ROLE_STORE, forgetAfter),
+		Control:      c.presence.members(now, fleetpb.Role_ROLE_CONTROL, forgetAfter),
+		LiveDomains:  c.presence.domains(now, c.Self.GetFailureDomain()),
+		Copies:       2*c.FaultTolerance + 1,
+		StoresStable: d.settled(now),
+		Self:         c.Self,
+		Uptime:       now.Sub(d.started),
 	}
 	if p.Next(c.State()) == nil {
 		return
@@ -194,7 +194,7 @@
 // settled reports whether no store has come for a while, so that the first view
 // holds them all.
 func (d *duties) settled(now time.Time) bool {
-	n := len(d.controller.presence.members(now, fleetpb.Role_ROLE_STORE, membership.PresentWithin))
+	n := len(d.controller.presence.members(now, fleetpb.Role_ROLE_STORE, membership.LivenessTimeout))
 	if n != d.known {
 		d.known, d.lastJoin = n, now
 	}
@@ -229,9 +229,9 @@
 func (c *Controller) Retire(ctx context.Context, name string) error {
 	var refused error
 	now := time.Now()
-	stores := c.presence.members(now, fleetpb.Role_ROLE_STORE, membership.PresentWithin)
+	stores := c.presence.members(now, fleetpb.Role_ROLE_STORE, membership.LivenessTimeout)
 	_, err := c.Change(ctx, func(s *fleetpb.State) *fleetpb.State {
-		refused = membership.MayRetire(s, stores, name, c.FaultTolerance+1)
+		refused = membership.CheckRetire(s, stores, name, c.FaultTolerance+1)
 		if refused != nil || slices.Contains(s.GetView().GetLeaving(), name) || slices.Contains(s.GetRetired(), name) {
 			return nil
 		}
--- a/rockbarrow/controller/presence.go
+++ b/rockbarrow/controller/presence.go
@@ -53,7 +53,7 @@
 		r.control = map[string]membership.Peer{}
 	}
 	name := req.GetSender().GetInstance()
-	r.control[name] = membership.Peer{Member: req.GetSender(), Heard: now, Copied: req.GetCopiedEpoch()}
+	r.control[name] = membership.Peer{Member: req.GetSender(), LastSeen: now, CopiedEpoch: req.GetCopiedEpoch()}
 	r.mu.Unlock()
 	if req.GetRelayed() == nil {
 		return 0, nil
@@ -68,7 +68,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for name, p := range r.control {
-		p.Heard = now
+		p.LastSeen = now
 		r.control[name] = p
 	}
 }
@@ -79,7 +79,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for name, p := range r.control {
-		if now.Sub(p.Heard) > forgetAfter {
+		if now.Sub(p.LastSeen) > forgetAfter {
 			delete(r.control, name)
 		}
 	}
@@ -92,7 +92,7 @@
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		for _, p := range r.control {
-			if now.Sub(p.Heard) < within {
+			if now.Sub(p.LastSeen) < within {
 				out = append(out, p)
 			}
 		}
@@ -100,7 +100,7 @@
 		return out
 	}
 	for _, i := range r.fleet.Instances(now, role, within) {
-		out = append(out, membership.Peer{Member: i.Member, Heard: i.LastHeard, Copied: i.CopiedEpoch})
+		out = append(out, membership.Peer{Member: i.Member, LastSeen: i.LastHeard, CopiedEpoch: i.CopiedEpoch})
 	}
 	return out
 }
@@ -110,7 +110,7 @@
 func (r *presence) domains(now time.Time, own string) map[string]bool {
 	out := map[string]bool{own: true}
 	for _, role := range []fleetpb.Role{fleetpb.Role_ROLE_CONTROL, fleetpb.Role_ROLE_ENTRY, fleetpb.Role_ROLE_STORE} {
-		for _, p := range r.members(now, role, membership.PresentWithin) {
+		for _, p := range r.members(now, role, membership.LivenessTimeout) {
 			out[p.Member.GetFailureDomain()] = true
 		}
 	}
@@ -127,7 +127,7 @@
 			out = append(out, at[name])
 		}
 		at[name].Known++
-		if now.Sub(i.LastHeard) < membership.PresentWithin {
+		if now.Sub(i.LastHeard) < membership.LivenessTimeout {
 			present++
 		}
 		if now.Sub(i.LastHeard) < servingWithin {
--- a/rockbarrow/controller/relay_test.go
+++ b/rockbarrow/controller/relay_test.go
@@ -37,10 +37,10 @@
 			call(entry)
 			call(store)
 			now := time.Now()
-			stores := c.presence.members(now, fleetpb.Role_ROLE_STORE, membership.PresentWithin)
+			stores := c.presence.members(now, fleetpb.Role_ROLE_STORE, membership.LivenessTimeout)
 			domains, present := c.presence.entryDomains(now)
 			list := c.Endpoints().Version()
-			if len(stores) != 1 || stores[0].Copied != 3 || present != 1 || domains[0].GetServing() != 1 || list == nil {
+			if len(stores) != 1 || stores[0].CopiedEpoch != 3 || present != 1 || domains[0].GetServing() != 1 || list == nil {
 				return false
 			}
 			l := c.loads.of(now, "entry-2", list, true)
--- a/rockbarrow/controller/updates.go
+++ b/rockbarrow/controller/updates.go
@@ -109,7 +109,7 @@
 	if h := c.counted.Load(); h != nil && now.Sub(h.at) < headcountFor {
 		return h
 	}
-	h := &headcount{at: now, control: c.control(now, membership.PresentWithin)}
+	h := &headcount{at: now, control: c.control(now, membership.LivenessTimeout)}
 	h.controlSum = sumMembers(h.control)
 	h.entryDomains, h.entries = c.presence.entryDomains(now)
 	c.counted.Store(h)
--- a/rockbarrow/ledger/copying.go
+++ b/rockbarrow/ledger/copying.go
@@ -4,11 +4,11 @@
 
 import "rockbarrow.dev/schema/fleetpb"
 
-// Needs reports whether a member of a changing view has to copy a program's
+// MustCopy reports whether a member of a changing view has to copy a program's
 // records: it is in the program's new group, and was not in the old one or the
 // group has become smaller, so that fewer copies must hold what more held. With
 // all it needs everything of its groups.
-func Needs(v *fleetpb.View, storage uint64, program string, all bool) bool {
+func MustCopy(v *fleetpb.View, storage uint64, program string, all bool) bool {
 	present := Group(v.GetMembers(), program, int(v.GetCopies()))
 	if !hasStorage(present, storage) {
 		return false
@@ -20,8 +20,8 @@
 	return !hasStorage(prior, storage) || len(present) < len(prior)
 }
 
-// Sources returns the members to copy from.
-func Sources(v *fleetpb.View, storage uint64) []*fleetpb.Member {
+// CopySources returns the members to copy from.
+func CopySources(v *fleetpb.View, storage uint64) []*fleetpb.Member {
 	var from []*fleetpb.Member
 	for _, m := range counting(v) {
 		if m.GetStorage() != storage {
--- a/rockbarrow/ledger/coverage.go
+++ b/rockbarrow/ledger/coverage.go
@@ -4,12 +4,12 @@
 
 import "rockbarrow.dev/schema/fleetpb"
 
-// Covers reports whether every group, whichever program's records it keeps, has a read
+// ReadQuorumInAllGroups reports whether every group, whichever program's records it keeps, has a read
 // quorum among the stores that are heard. Groups are spread over failure domains, so
 // that a lost domain takes few stores of each group, however many it has.
-func Covers(members []*fleetpb.Member, copies int, heard func(storage uint64) bool) bool {
+func ReadQuorumInAllGroups(members []*fleetpb.Member, copies int, heard func(storage uint64) bool) bool {
 	size := min(copies, len(members))
-	return size > 0 && mostSilent(members, copies, heard) <= Unheard(size)
+	return size > 0 && mostSilent(members, copies, heard) <= MaxReadFailures(size)
 }
 
 // mostSilent is the most stores of one group that can be silent.
@@ -35,8 +35,8 @@
 	return spread
 }
 
-// CoversMove reports whether the stores that are heard hold all records from before a
+// SourcesSufficient reports whether the stores that are heard hold all records from before a
 // view's move, or all records if none is under way.
-func CoversMove(v *fleetpb.View, heard func(storage uint64) bool) bool {
-	return Covers(counting(v), int(v.GetCopies()), heard)
+func SourcesSufficient(v *fleetpb.View, heard func(storage uint64) bool) bool {
+	return ReadQuorumInAllGroups(counting(v), int(v.GetCopies()), heard)
 }
--- a/rockbarrow/ledger/coverage_test.go
+++ b/rockbarrow/ledger/coverage_test.go
@@ -13,7 +13,7 @@
 func TestALostDomainLeavesAllGroupsCovered(t *testing.T) {
 	members := stores("a", "a", "a", "b", "b", "b", "c", "c", "d", "d", "e", "e")
 	without := func(domains ...string) bool {
-		return Covers(members, 5, func(storage uint64) bool {
+		return ReadQuorumInAllGroups(members, 5, func(storage uint64) bool {
 			for _, d := range domains {
 				if members[storage-1].GetFailureDomain() == d {
 					return false
@@ -47,7 +47,7 @@
 		for range r.IntN(len(members) + 1) {
 			silent[uint64(1+r.IntN(len(members)))] = true
 		}
-		if !Covers(members, copies, func(storage uint64) bool { return !silent[storage] }) {
+		if !ReadQuorumInAllGroups(members, copies, func(storage uint64) bool { return !silent[storage] }) {
 			continue
 		}
 		covered++
--- a/rockbarrow/ledger/doc.go
+++ b/rockbarrow/ledger/doc.go
@@ -9,7 +9,7 @@
 // them is in every majority. Reserving is both at once: of two turns
 // that reserve at the same time, at least one sees the other.
 //
-// [Group] names the stores of a program. [Tally] counts their answers, in the
-// old and the new group while the view changes. [Book] is what one store holds.
-// [Total] joins the reservations that several stores told.
+// [Group] names the stores of a program. [QuorumTracker] counts their answers, in the
+// old and the new group while the view changes. [StateMachine] is what one store holds.
+// [ReservationSet] joins the reservations that several stores told.
 package ledger
--- a/rockbarrow/ledger/group.go
+++ b/rockbarrow/ledger/group.go
@@ -81,9 +81,9 @@
 // copy that is left.
 func ReadQuorum(n int) int { return n - WriteQuorum(n) + 1 }
 
-// Unheard returns how many of n stores may stay silent when the others are read.
-func Unheard(n int) int { return max(0, n-ReadQuorum(n)) }
+// MaxReadFailures returns how many of n stores may stay silent when the others are read.
+func MaxReadFailures(n int) int { return max(0, n-ReadQuorum(n)) }
 
-// Losable returns how many of n stores may be out of reach while records are
+// MaxWriteFailures returns how many of n stores may be out of reach while records are
 // written.
-func Losable(n int) int { return max(0, n-WriteQuorum(n)) }
+func MaxWriteFailures(n int) int { return max(0, n-WriteQuorum(n)) }
--- a/rockbarrow/ledger/ledger_test.go
+++ b/rockbarrow/ledger/ledger_test.go
@@ -51,37 +51,37 @@
 func TestAMoveNeedsBothGroups(t *testing.T) {
 	all := stores("a", "b", "c", "d")
 	v := &fleetpb.View{Epoch: 2, Members: all[1:], Prior: all[:3], Copies: 3}
-	tally := NewTally(v, "p")
+	tally := NewQuorumTracker(v, "p")
 	tally.Ack(1, 1)
 	tally.Ack(2, 1)
-	if tally.Written() {
+	if tally.HasWriteQuorum() {
 		t.Error("a record is durable without the new group")
 	}
-	if !tally.Sure() {
+	if !tally.HasReadQuorum() {
 		t.Error("the old group has answered and is not believed")
 	}
 	tally.Ack(4, 0)
-	if !tally.Written() {
+	if !tally.HasWriteQuorum() {
 		t.Error("a record with both majorities is not durable")
 	}
 	// A new store that has copied nothing yet proves nothing.
-	tally = NewTally(&fleetpb.View{Epoch: 3, Members: all[1:], Copies: 3}, "p")
+	tally = NewQuorumTracker(&fleetpb.View{Epoch: 3, Members: all[1:], Copies: 3}, "p")
 	tally.Ack(4, 0)
 	tally.Ack(3, 2)
-	if tally.Sure() {
+	if tally.HasReadQuorum() {
 		t.Error("a store that has not copied its groups is believed")
 	}
 }
 
 func TestASettlementCountsBeforeAReservation(t *testing.T) {
-	var total Total
-	total.Add([]*fleetpb.Reservation{{Turn: "1", Tokens: 100}, {Turn: "2", Tokens: 50}})
-	total.Add([]*fleetpb.Reservation{{Turn: "1", Tokens: 30, Settled: true}})
-	total.Add([]*fleetpb.Reservation{{Turn: "1", Tokens: 100}})
-	if n := total.Others("3"); n != 80 {
+	var total ReservationSet
+	total.Merge([]*fleetpb.Reservation{{Turn: "1", Tokens: 100}, {Turn: "2", Tokens: 50}})
+	total.Merge([]*fleetpb.Reservation{{Turn: "1", Tokens: 30, Settled: true}})
+	total.Merge([]*fleetpb.Reservation{{Turn: "1", Tokens: 100}})
+	if n := total.TokensExcept("3"); n != 80 {
 		t.Errorf("%d tokens used, want 80", n)
 	}
-	if n := total.Others("2"); n != 30 {
+	if n := total.TokensExcept("2"); n != 30 {
 		t.Errorf("%d tokens used by others, want 30", n)
 	}
 }
@@ -92,20 +92,20 @@
 	for _, qa := range quorums {
 		for _, qb := range quorums {
 			for order := range 2 {
-				books := make([]Book, 3)
+				books := make([]StateMachine, 3)
 				write := func(turn string, at int) []*fleetpb.Reservation {
 					books[at].Apply(time.Time{}, reservation("p", turn, 100))
 					return books[at].Reservations("p")
 				}
-				var a, b Total
+				var a, b ReservationSet
 				steps := []func(){}
 				for i := range 2 {
-					steps = append(steps, func() { a.Add(write("a", qa[i])) }, func() { b.Add(write("b", qb[(i+order)%2])) })
+					steps = append(steps, func() { a.Merge(write("a", qa[i])) }, func() { b.Merge(write("b", qb[(i+order)%2])) })
 				}
 				for _, s := range steps {
 					s()
 				}
-				if a.Others("a") == 0 && b.Others("b") == 0 {
+				if a.TokensExcept("a") == 0 && b.TokensExcept("b") == 0 {
 					t.Fatalf("quorums %v and %v: neither saw the other", qa, qb)
 				}
 			}
@@ -127,7 +127,7 @@
 
 func TestChainsAreKeptWhileTheyAreUsed(t *testing.T) {
 	start := time.Unix(0, 0)
-	var b Book
+	var b StateMachine
 	b.Apply(start, turn("1", "", "p"))
 	b.Apply(start, turn("2", "1", "p"))
 	b.Apply(start, turn("other", "", "q"))
@@ -151,7 +151,7 @@
 	for n := 2; n <= 7; n++ {
 		prior := stores("a", "b", "c", "d", "e", "f", "g")[:n]
 		v := &fleetpb.View{Epoch: 2, Members: prior, Prior: prior, Copies: uint32(n)}
-		if from := Sources(v, 99); len(from) != n {
+		if from := CopySources(v, 99); len(from) != n {
 			t.Fatalf("%d sources of %d stores", len(from), n)
 		}
 		for written := range 1 << n {
@@ -159,7 +159,7 @@
 				continue
 			}
 			for heard := range 1 << n {
-				covers := CoversMove(v, func(storage uint64) bool { return heard&(1<<(storage-1)) != 0 })
+				covers := SourcesSufficient(v, func(storage uint64) bool { return heard&(1<<(storage-1)) != 0 })
 				if covers && written&heard == 0 {
 					t.Fatalf("of %d stores, %b wrote and %b were copied from", n, written, heard)
 				}
@@ -174,15 +174,15 @@
 func TestWhoCopies(t *testing.T) {
 	all := stores("a", "b", "c")
 	v := &fleetpb.View{Epoch: 2, Members: append(stores("a", "b"), &fleetpb.Member{Instance: "store-2", Storage: 9}), Prior: all, Copies: 3}
-	if !Needs(v, 9, "p", true) || Needs(v, 1, "p", false) {
+	if !MustCopy(v, 9, "p", true) || MustCopy(v, 1, "p", false) {
 		t.Error("the wrong stores copy")
 	}
-	for _, m := range Sources(v, 99) {
+	for _, m := range CopySources(v, 99) {
 		if !hasStorage(all, m.GetStorage()) {
 			t.Errorf("store %d counts while records are copied to it", m.GetStorage())
 		}
 	}
-	if len(Sources(v, 9)) != 3 || len(Sources(v, 1)) != 2 {
+	if len(CopySources(v, 9)) != 3 || len(CopySources(v, 1)) != 2 {
 		t.Error("the wrong stores count while records are copied")
 	}
 }
@@ -193,7 +193,7 @@
 			t.Errorf("of %d stores, %d and %d need not meet", n, WriteQuorum(n), ReadQuorum(n))
 		}
 	}
-	if Unheard(2) != 1 || Losable(2) != 0 || Unheard(0) != 0 || Losable(0) != 0 {
+	if MaxReadFailures(2) != 1 || MaxWriteFailures(2) != 0 || MaxReadFailures(0) != 0 || MaxWriteFailures(0) != 0 {
 		t.Error("of two stores, either holds all and both must write")
 	}
 }
--- a/rockbarrow/ledger/budget.go
+++ b/rockbarrow/ledger/reservations.go
@@ -4,13 +4,13 @@
 
 import "rockbarrow.dev/schema/fleetpb"
 
-// Total joins the reservations that several stores told.
-type Total struct {
+// ReservationSet joins the reservations that several stores told.
+type ReservationSet struct {
 	byTurn map[string]*fleetpb.Reservation
 }
 
-// Add joins one store's reservations.
-func (t *Total) Add(list []*fleetpb.Reservation) {
+// Merge joins one store's reservations.
+func (t *ReservationSet) Merge(list []*fleetpb.Reservation) {
 	if t.byTurn == nil {
 		t.byTurn = map[string]*fleetpb.Reservation{}
 	}
@@ -19,8 +19,8 @@
 	}
 }
 
-// Others returns the tokens of all turns but one.
-func (t *Total) Others(turn string) uint64 {
+// TokensExcept returns the tokens of all turns but one.
+func (t *ReservationSet) TokensExcept(turn string) uint64 {
 	var n uint64
 	for id, r := range t.byTurn {
 		if id != turn {
--- a/rockbarrow/ledger/book.go
+++ b/rockbarrow/ledger/statemachine.go
@@ -17,9 +17,9 @@
 // slack is added to that, for a turn under way that is about to be stored.
 const slack = 15 * time.Second
 
-// Book is what one store holds. It is a state machine without a clock; the owner
+// StateMachine is what one store holds. It is a state machine without a clock; the owner
 // serializes the calls.
-type Book struct {
+type StateMachine struct {
 	programs map[string]*program
 	// turns holds each turn of any program by its id.
 	turns map[string]*fleetpb.Turn
@@ -38,7 +38,7 @@
 }
 
 // Apply takes a record and reports whether it told anything new.
-func (b *Book) Apply(now time.Time, r *fleetpb.Record) bool {
+func (b *StateMachine) Apply(now time.Time, r *fleetpb.Record) bool {
 	switch k := r.GetKind().(type) {
 	case *fleetpb.Record_Reservation:
 		return b.reserve(now, k.Reservation)
@@ -48,7 +48,7 @@
 	return false
 }
 
-func (b *Book) reserve(now time.Time, r *fleetpb.ProgramReservation) bool {
+func (b *StateMachine) reserve(now time.Time, r *fleetpb.ProgramReservation) bool {
 	p := b.program(now, r.GetProgram(), r.GetRetainMs())
 	own := r.GetReservation()
 	old := p.reservations[own.GetTurn()]
@@ -60,7 +60,7 @@
 	return old == nil || joined != old
 }
 
-func (b *Book) keep(now time.Time, t *fleetpb.Turn) bool {
+func (b *StateMachine) keep(now time.Time, t *fleetpb.Turn) bool {
 	p := b.program(now, t.GetHome(), t.GetRetainMs())
 	if b.turns[t.GetId()] != nil {
 		return false
@@ -75,7 +75,7 @@
 }
 
 // program returns a program's entry, and keeps it alive.
-func (b *Book) program(now time.Time, name string, retainMS uint64) *program {
+func (b *StateMachine) program(now time.Time, name string, retainMS uint64) *program {
 	p := b.programs[name]
 	if p == nil {
 		if b.programs == nil {
@@ -90,7 +90,7 @@
 }
 
 // Reservations returns the reservations of a program in no order.
-func (b *Book) Reservations(name string) []*fleetpb.Reservation {
+func (b *StateMachine) Reservations(name string) []*fleetpb.Reservation {
 	p := b.programs[name]
 	if p == nil {
 		return nil
@@ -102,9 +102,9 @@
 	return out
 }
 
-// Endpoint returns the endpoint that served a program's turn that was settled last, without
+// LastEndpoint returns the endpoint that served a program's turn that was settled last, without
 // an id if none is known.
-func (b *Book) Endpoint(name string) life.Life {
+func (b *StateMachine) LastEndpoint(name string) life.Life {
 	p := b.programs[name]
 	if p == nil {
 		return life.Life{}
@@ -113,11 +113,11 @@
 }
 
 // Has reports whether a turn is held.
-func (b *Book) Has(turn string) bool { return b.turns[turn] != nil }
+func (b *StateMachine) Has(turn string) bool { return b.turns[turn] != nil }
 
 // Chain returns a turn and the turns before it, newest first, up to the first
 // one that is not held here, and keeps them alive.
-func (b *Book) Chain(now time.Time, turn string) []*fleetpb.Turn {
+func (b *StateMachine) Chain(now time.Time, turn string) []*fleetpb.Turn {
 	var out []*fleetpb.Turn
 	for t := b.turns[turn]; t != nil; t = b.turns[t.GetPrevious()] {
 		out = append(out, t)
@@ -129,7 +129,7 @@
 }
 
 // Expire forgets the programs whose time is over.
-func (b *Book) Expire(now time.Time) {
+func (b *StateMachine) Expire(now time.Time) {
 	for name, p := range b.programs {
 		if now.Sub(p.touched) < graceFactor*p.retain+slack {
 			continue
@@ -143,19 +143,19 @@
 }
 
 // Size returns the programs and turns held, and the bytes of the turns.
-func (b *Book) Size() (programs, turns int, bytes int64) {
+func (b *StateMachine) Size() (programs, turns int, bytes int64) {
 	return len(b.programs), len(b.turns), b.bytes
 }
 
 // Programs calls yield with the name of each program.
-func (b *Book) Programs(yield func(name string)) {
+func (b *StateMachine) Programs(yield func(name string)) {
 	for name := range b.programs {
 		yield(name)
 	}
 }
 
 // Records returns all records of a program.
-func (b *Book) Records(name string) []*fleetpb.Record {
+func (b *StateMachine) Records(name string) []*fleetpb.Record {
 	p := b.programs[name]
 	if p == nil {
 		return nil
--- a/rockbarrow/ledger/tally.go
+++ b/rockbarrow/ledger/tracker.go
@@ -4,8 +4,8 @@
 
 import "rockbarrow.dev/schema/fleetpb"
 
-// Tally counts the answers to one call that goes to a program's stores.
-type Tally struct {
+// QuorumTracker counts the answers to one call that goes to a program's stores.
+type QuorumTracker struct {
 	epoch uint64
 	// present is the group under the view's members, prior the one under the
 	// members before a change under way, or empty.
@@ -14,9 +14,9 @@
 	refused        map[uint64]bool
 }
 
-// NewTally returns the tally of a program's stores under a view.
-func NewTally(v *fleetpb.View, program string) *Tally {
-	t := &Tally{epoch: v.GetEpoch(), acked: map[uint64]bool{}, whole: map[uint64]bool{}, refused: map[uint64]bool{}}
+// NewQuorumTracker returns the tally of a program's stores under a view.
+func NewQuorumTracker(v *fleetpb.View, program string) *QuorumTracker {
+	t := &QuorumTracker{epoch: v.GetEpoch(), acked: map[uint64]bool{}, whole: map[uint64]bool{}, refused: map[uint64]bool{}}
 	t.present = Group(v.GetMembers(), program, int(v.GetCopies()))
 	if len(v.GetPrior()) > 0 {
 		t.prior = Group(v.GetPrior(), program, int(v.GetCopies()))
@@ -24,16 +24,16 @@
 	return t
 }
 
-// Everywhere returns a tally of all stores of a view, for a question whose
+// NewAllStoresTracker returns a tally of all stores of a view, for a question whose
 // program is not known.
-func Everywhere(v *fleetpb.View) *Tally {
-	t := NewTally(&fleetpb.View{Epoch: v.GetEpoch()}, "")
+func NewAllStoresTracker(v *fleetpb.View) *QuorumTracker {
+	t := NewQuorumTracker(&fleetpb.View{Epoch: v.GetEpoch()}, "")
 	t.present, t.prior = v.GetMembers(), v.GetPrior()
 	return t
 }
 
 // Members returns the stores to call, each once.
-func (t *Tally) Members() []*fleetpb.Member {
+func (t *QuorumTracker) Members() []*fleetpb.Member {
 	out := append([]*fleetpb.Member(nil), t.present...)
 	for _, m := range t.prior {
 		if !hasStorage(out, m.GetStorage()) {
@@ -47,44 +47,44 @@
 // something only if it held all records of its groups under the view before this
 // one: while a move is under way the old group answers, and when it has ended
 // the members have what they copied.
-func (t *Tally) Ack(storage, wholeEpoch uint64) {
+func (t *QuorumTracker) Ack(storage, wholeEpoch uint64) {
 	t.acked[storage] = true
 	t.whole[storage] = wholeEpoch+1 >= t.epoch
 }
 
 // Refuse counts a store that will not answer this call.
-func (t *Tally) Refuse(storage uint64) { t.refused[storage] = true }
+func (t *QuorumTracker) Refuse(storage uint64) { t.refused[storage] = true }
 
-// Written reports whether the record is durable. While a move is under way it is
+// HasWriteQuorum reports whether the record is durable. While a move is under way it is
 // so in the new group, where it stays; whoever reads asks both groups.
-func (t *Tally) Written() bool {
+func (t *QuorumTracker) HasWriteQuorum() bool {
 	return count(t.present, t.acked) >= WriteQuorum(len(t.present))
 }
 
-// Sure reports whether what no store has told is certainly not there.
-func (t *Tally) Sure() bool {
+// HasReadQuorum reports whether what no store has told is certainly not there.
+func (t *QuorumTracker) HasReadQuorum() bool {
 	group := t.authority()
 	return len(group) > 0 && count(group, t.whole) >= ReadQuorum(len(group))
 }
 
 // authority is the group that holds all records from before this view.
-func (t *Tally) authority() []*fleetpb.Member {
+func (t *QuorumTracker) authority() []*fleetpb.Member {
 	if len(t.prior) > 0 {
 		return t.prior
 	}
 	return t.present
 }
 
-// SureEverywhere reports whether what no store has told is in no group at all:
+// HasReadQuorumInAllGroups reports whether what no store has told is in no group at all:
 // each group has a quorum among the stores that answered.
-func (t *Tally) SureEverywhere(copies int) bool {
-	return Covers(t.authority(), copies, func(storage uint64) bool { return t.whole[storage] })
+func (t *QuorumTracker) HasReadQuorumInAllGroups(copies int) bool {
+	return ReadQuorumInAllGroups(t.authority(), copies, func(storage uint64) bool { return t.whole[storage] })
 }
 
-// Lost reports whether a quorum can no longer be reached.
-func (t *Tally) Lost() bool {
+// QuorumLost reports whether a quorum can no longer be reached.
+func (t *QuorumTracker) QuorumLost() bool {
 	group := t.authority()
-	return count(t.present, t.refused) > Losable(len(t.present)) || count(group, t.refused) > Unheard(len(group))
+	return count(t.present, t.refused) > MaxWriteFailures(len(t.present)) || count(group, t.refused) > MaxReadFailures(len(group))
 }
 
 // count returns how many members of a group are in a set.
--- a/rockbarrow/membership/plan.go
+++ b/rockbarrow/membership/plan.go
@@ -26,25 +26,25 @@
 	cutAtMost = 15 * time.Second
 )
 
-// Plan decides the next step of the members. It is made anew from what is known at each
-// tick. Set the exported fields before the call of [Plan.Next].
-type Plan struct {
+// Planner decides the next step of the members. It is made anew from what is known at each
+// tick. Set the exported fields before the call of [Planner.Next].
+type Planner struct {
 	Now     time.Time
 	Stores  []Peer
 	Control []Peer
-	// Domains are the failure domains of which any instance was heard lately.
-	Domains map[string]bool
+	// LiveDomains are the failure domains of which any instance was heard lately.
+	LiveDomains map[string]bool
 	// Copies is how many stores keep a program's records.
 	Copies int
-	// Settled is true when no store has come lately.
-	Settled bool
-	Self    *fleetpb.Member
-	// Ran is how long this instance has run: nobody's silence is known to be longer.
-	Ran time.Duration
+	// StoresStable is true when no store has come lately.
+	StoresStable bool
+	Self         *fleetpb.Member
+	// Uptime is how long this instance has run: nobody's silence is known to be longer.
+	Uptime time.Duration
 }
 
 // Next returns the state with one step made, or nil if there is none to make.
-func (p Plan) Next(s *fleetpb.State) *fleetpb.State {
+func (p Planner) Next(s *fleetpb.State) *fleetpb.State {
 	s = register.CloneState(s)
 	if p.nextView(s) || p.nextVoters(s) {
 		return s
@@ -52,7 +52,7 @@
 	return nil
 }
 
-func (p Plan) nextView(s *fleetpb.State) bool {
+func (p Planner) nextView(s *fleetpb.State) bool {
 	v := s.GetView()
 	switch {
 	case v == nil:
@@ -69,14 +69,14 @@
 	return true
 }
 
-func (p Plan) firstView(s *fleetpb.State) bool {
+func (p Planner) firstView(s *fleetpb.State) bool {
 	var members []*fleetpb.Member
 	for _, peer := range p.Stores {
 		if p.present(peer) {
 			members = append(members, peer.Member)
 		}
 	}
-	if !p.Settled || len(members) == 0 {
+	if !p.StoresStable || len(members) == 0 {
 		return false
 	}
 	s.View = &fleetpb.View{Epoch: 1, Members: members, Copies: uint32(p.Copies)}
@@ -85,12 +85,12 @@
 
 // finishView ends a move once the new members hold what they need. A few may be
 // missing: each group then still has a quorum that does.
-func (p Plan) finishView(s *fleetpb.State) bool {
+func (p Planner) finishView(s *fleetpb.State) bool {
 	v := s.GetView()
 	missing := 0
 	for _, m := range v.GetMembers() {
 		peer, ok := find(p.Stores, m.GetStorage())
-		if ok && peer.Copied >= v.GetEpoch() {
+		if ok && peer.CopiedEpoch >= v.GetEpoch() {
 			continue
 		}
 		// One that is present will be done soon.
@@ -99,7 +99,7 @@
 		}
 		missing++
 	}
-	if missing > 0 && !ledger.Covers(v.GetMembers(), p.Copies, p.copiedFor(v.GetEpoch())) {
+	if missing > 0 && !ledger.ReadQuorumInAllGroups(v.GetMembers(), p.Copies, p.copiedFor(v.GetEpoch())) {
 		return false
 	}
 	v.Prior = nil
@@ -109,10 +109,10 @@
 }
 
 // copiedFor returns a function that reports whether a store holds what a view needs.
-func (p Plan) copiedFor(epoch uint64) func(storage uint64) bool {
+func (p Planner) copiedFor(epoch uint64) func(storage uint64) bool {
 	return func(storage uint64) bool {
 		peer, ok := find(p.Stores, storage)
-		return ok && peer.Copied >= epoch
+		return ok && peer.CopiedEpoch >= epoch
 	}
 }
 
@@ -135,7 +135,7 @@
 
 // wantedStores returns the members that should be: each at its place, with its
 // present storage, unless it leaves or is lost and a spare can stand in.
-func (p Plan) wantedStores(s *fleetpb.State) []*fleetpb.Member {
+func (p Planner) wantedStores(s *fleetpb.State) []*fleetpb.Member {
 	v := s.GetView()
 	spares := p.spares(s)
 	var out []*fleetpb.Member
@@ -162,7 +162,7 @@
 // withoutLost leaves out lost members once too few are there to write but enough
 // to read: of two stores, the one that is left goes on alone, as it holds every
 // record. The other comes back as a spare and copies.
-func (p Plan) withoutLost(members []*fleetpb.Member) []*fleetpb.Member {
+func (p Planner) withoutLost(members []*fleetpb.Member) []*fleetpb.Member {
 	var there []*fleetpb.Member
 	for _, m := range members {
 		if !p.lost(p.Stores, m) {
@@ -170,7 +170,7 @@
 		}
 	}
 	n := min(p.Copies, len(members))
-	if lost := len(members) - len(there); lost > ledger.Losable(n) && lost <= ledger.Unheard(n) {
+	if lost := len(members) - len(there); lost > ledger.MaxWriteFailures(n) && lost <= ledger.MaxReadFailures(n) {
 		return there
 	}
 	return members
@@ -178,7 +178,7 @@
 
 // spares are present stores that are not members, do not leave and have not been
 // emptied.
-func (p Plan) spares(s *fleetpb.State) []*fleetpb.Member {
+func (p Planner) spares(s *fleetpb.State) []*fleetpb.Member {
 	v := s.GetView()
 	var out []*fleetpb.Member
 	for _, peer := range p.Stores {
@@ -196,7 +196,7 @@
 
 // reborn returns the present life of a member that came back with an empty disk
 // or at another address.
-func (p Plan) reborn(m *fleetpb.Member) *fleetpb.Member {
+func (p Planner) reborn(m *fleetpb.Member) *fleetpb.Member {
 	for _, peer := range p.Stores {
 		o := peer.Member
 		if o.GetInstance() == m.GetInstance() && o.GetStorage() != m.GetStorage() && p.present(peer) {
@@ -206,29 +206,29 @@
 	return nil
 }
 
-func (p Plan) present(s Peer) bool { return p.Now.Sub(s.Heard) < PresentWithin }
+func (p Planner) present(s Peer) bool { return p.Now.Sub(s.LastSeen) < LivenessTimeout }
 
 // lost reports whether a member has been silent for long.
-func (p Plan) lost(peers []Peer, m *fleetpb.Member) bool {
-	if p.Ran <= calmAfter || m.GetStorage() == p.Self.GetStorage() {
+func (p Planner) lost(peers []Peer, m *fleetpb.Member) bool {
+	if p.Uptime <= calmAfter || m.GetStorage() == p.Self.GetStorage() {
 		return false
 	}
 	peer, ok := find(peers, m.GetStorage())
-	return !ok || p.Now.Sub(peer.Heard) > lostAfter
+	return !ok || p.Now.Sub(peer.LastSeen) > lostAfter
 }
 
 // storeLost reports whether a store has been silent for so long that another takes its
 // place, longer where its whole failure domain is.
-func (p Plan) storeLost(m *fleetpb.Member) bool {
+func (p Planner) storeLost(m *fleetpb.Member) bool {
 	if !p.lost(p.Stores, m) {
 		return false
 	}
-	if p.Domains[m.GetFailureDomain()] {
+	if p.LiveDomains[m.GetFailureDomain()] {
 		return true
 	}
-	silent := p.Ran
+	silent := p.Uptime
 	if peer, ok := find(p.Stores, m.GetStorage()); ok {
-		silent = p.Now.Sub(peer.Heard)
+		silent = p.Now.Sub(peer.LastSeen)
 	}
 	return silent > cutAtMost
 }
--- a/rockbarrow/membership/plan_test.go
+++ b/rockbarrow/membership/plan_test.go
@@ -26,12 +26,12 @@
 }
 
 // scene is a plan with stores that were just heard.
-func scene(stores ...*fleetpb.Member) Plan {
+func scene(stores ...*fleetpb.Member) Planner {
 	now := time.Unix(100, 0)
-	p := Plan{Now: now, Copies: 3, Settled: true, Ran: time.Minute, Self: member("control-0", 100), Domains: map[string]bool{}}
+	p := Planner{Now: now, Copies: 3, StoresStable: true, Uptime: time.Minute, Self: member("control-0", 100), LiveDomains: map[string]bool{}}
 	for _, m := range stores {
-		p.Domains[m.GetFailureDomain()] = true
-		p.Stores = append(p.Stores, Peer{Member: m, Heard: now})
+		p.LiveDomains[m.GetFailureDomain()] = true
+		p.Stores = append(p.Stores, Peer{Member: m, LastSeen: now})
 	}
 	return p
 }
@@ -50,7 +50,7 @@
 	again := member("a", 9)
 	tests := []struct {
 		name  string
-		plan  Plan
+		plan  Planner
 		state *fleetpb.State
 		// want is the members after the step, "" for no step.
 		want string
@@ -82,7 +82,7 @@
 
 func TestSilenceIsNoLossWhileThisProcessKnowsTooLittle(t *testing.T) {
 	p := scene(member("b", 2), member("c", 3), member("d", 4))
-	p.Ran = 0
+	p.Uptime = 0
 	if next := p.Next(steady(member("a", 1), member("b", 2), member("c", 3))); next != nil {
 		t.Errorf("members %s", names3(next))
 	}
@@ -122,10 +122,10 @@
 	}
 	for _, test := range tests {
 		p := scene(append(members[:4:4], spare)...)
-		p.Copies, p.Ran = 5, test.ran
-		p.Domains = map[string]bool{"a": true, "b": true, "c": true, "d": true, "e": test.other}
+		p.Copies, p.Uptime = 5, test.ran
+		p.LiveDomains = map[string]bool{"a": true, "b": true, "c": true, "d": true, "e": test.other}
 		if test.known {
-			p.Stores = append(p.Stores, Peer{Member: members[4], Heard: p.Now.Add(-test.silent)})
+			p.Stores = append(p.Stores, Peer{Member: members[4], LastSeen: p.Now.Add(-test.silent)})
 		}
 		got := ""
 		if next := p.Next(s); next != nil {
@@ -149,7 +149,7 @@
 	p := scene(append(members[:2:2], members[5:]...)...)
 	p.Copies = 5
 	for i := range p.Stores {
-		p.Stores[i].Copied = 2
+		p.Stores[i].CopiedEpoch = 2
 	}
 	if next := p.Next(s); next == nil || len(next.GetView().GetPrior()) > 0 {
 		t.Errorf("the move goes on: %v", next)
@@ -165,7 +165,7 @@
 		t.Fatal("the move ended before anything was copied")
 	}
 	for i := range p.Stores[1:] {
-		p.Stores[i+1].Copied = 2
+		p.Stores[i+1].CopiedEpoch = 2
 	}
 	next := p.Next(s)
 	if next == nil || len(next.GetView().GetPrior()) != 0 || next.GetView().GetEpoch() != 3 {
@@ -196,20 +196,20 @@
 	var few *TooFewStoresError
 	var unknown *UnknownStoreError
 	s := steady(a, b, c)
-	if err := MayRetire(s, scene(a, b, c).Stores, "x", 2); !errors.As(err, &unknown) {
+	if err := CheckRetire(s, scene(a, b, c).Stores, "x", 2); !errors.As(err, &unknown) {
 		t.Errorf("%v for a store that is not known", err)
 	}
-	if err := MayRetire(s, scene(a, b, c, d).Stores, "a", 2); err != nil {
+	if err := CheckRetire(s, scene(a, b, c, d).Stores, "a", 2); err != nil {
 		t.Errorf("%v with a spare", err)
 	}
-	if err := MayRetire(s, scene(a, b, c).Stores, "a", 2); err != nil {
+	if err := CheckRetire(s, scene(a, b, c).Stores, "a", 2); err != nil {
 		t.Errorf("%v when two would be left", err)
 	}
 	s.View.Leaving = []string{"b"}
-	if err := MayRetire(s, scene(a, b, c).Stores, "a", 2); !errors.As(err, &few) || few.Left != 1 {
+	if err := CheckRetire(s, scene(a, b, c).Stores, "a", 2); !errors.As(err, &few) || few.Remaining != 1 {
 		t.Errorf("%v when one store would be left", err)
 	}
-	if err := MayRetire(s, scene(a, b, c).Stores, "b", 2); err != nil {
+	if err := CheckRetire(s, scene(a, b, c).Stores, "b", 2); err != nil {
 		t.Errorf("%v for a repeated order", err)
 	}
 }
@@ -217,10 +217,10 @@
 func TestPlanOfVoters(t *testing.T) {
 	now := time.Unix(100, 0)
 	heard := func(m *fleetpb.Member, ago time.Duration) Peer {
-		return Peer{Member: m, Heard: now.Add(-ago)}
+		return Peer{Member: m, LastSeen: now.Add(-ago)}
 	}
 	own, b, c, d := member("control-0", 100), member("control-1", 101), member("control-2", 102), member("control-3", 103)
-	base := Plan{Now: now, Copies: 3, Ran: time.Minute, Self: own}
+	base := Planner{Now: now, Copies: 3, Uptime: time.Minute, Self: own}
 	voters := []*fleetpb.Member{own, b, c}
 	tests := []struct {
 		name    string
--- a/rockbarrow/membership/retire.go
+++ b/rockbarrow/membership/retire.go
@@ -15,14 +15,14 @@
 func (e *UnknownStoreError) Error() string { return "membership: no store is named " + e.Name }
 
 // TooFewStoresError says that a store can't be emptied.
-type TooFewStoresError struct{ Left, Needed int }
+type TooFewStoresError struct{ Remaining, Needed int }
 
 // Error describes the shortage.
 func (e *TooFewStoresError) Error() string { return "membership: too few stores would be left" }
 
-// MayRetire returns why a store can't be emptied, or nil. So many must be left
+// CheckRetire returns why a store can't be emptied, or nil. So many must be left
 // that the tolerated losses leave one.
-func MayRetire(s *fleetpb.State, present []Peer, name string, needed int) error {
+func CheckRetire(s *fleetpb.State, present []Peer, name string, needed int) error {
 	if slices.Contains(s.GetRetired(), name) || slices.Contains(s.GetView().GetLeaving(), name) {
 		return nil
 	}
@@ -47,7 +47,7 @@
 		return &UnknownStoreError{Name: name}
 	}
 	if left < needed {
-		return &TooFewStoresError{Left: left, Needed: needed}
+		return &TooFewStoresError{Remaining: left, Needed: needed}
 	}
 	return nil
 }
--- a/rockbarrow/membership/voters.go
+++ b/rockbarrow/membership/voters.go
@@ -10,7 +10,7 @@
 )
 
 // nextVoters moves one voter at a time; while two sets count, it ends the move.
-func (p Plan) nextVoters(s *fleetpb.State) bool {
+func (p Planner) nextVoters(s *fleetpb.State) bool {
 	if len(s.GetPriorVoters()) > 0 {
 		s.PriorVoters = nil
 		return true
@@ -23,7 +23,7 @@
 	return true
 }
 
-func (p Plan) wantedVoters(voters []*fleetpb.Member) []*fleetpb.Member {
+func (p Planner) wantedVoters(voters []*fleetpb.Member) []*fleetpb.Member {
 	spares := p.spareControl(voters)
 	for i, m := range voters {
 		for _, o := range spares {
@@ -42,7 +42,7 @@
 }
 
 // spareControl returns control instances that have no vote.
-func (p Plan) spareControl(voters []*fleetpb.Member) []*fleetpb.Member {
+func (p Planner) spareControl(voters []*fleetpb.Member) []*fleetpb.Member {
 	var out []*fleetpb.Member
 	if !register.ContainsStorage(voters, p.Self.GetStorage()) {
 		out = append(out, p.Self)
--- a/rockbarrow/store/calls.go
+++ b/rockbarrow/store/calls.go
@@ -22,7 +22,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	served := s.book.Endpoint(req.GetProgram())
+	served := s.book.LastEndpoint(req.GetProgram())
 	reply := &fleetpb.ReserveReply{
 		Status:       st,
 		Reservations: s.book.Reservations(req.GetProgram()),
--- a/rockbarrow/store/copier.go
+++ b/rockbarrow/store/copier.go
@@ -103,12 +103,12 @@
 		c.epoch, c.copied = v.GetEpoch(), map[uint64]bool{}
 	}
 	covered := func() bool {
-		return ledger.CoversMove(v, func(storage uint64) bool {
+		return ledger.SourcesSufficient(v, func(storage uint64) bool {
 			// What this store missed itself it has only from others.
 			return c.copied[storage] || storage == s.Self.GetStorage() && !all
 		})
 	}
-	from := c.left(ledger.Sources(v, s.Self.GetStorage()))
+	from := c.left(ledger.CopySources(v, s.Self.GetStorage()))
 	results := make(chan transferred, len(from))
 	for _, m := range from {
 		go (&transfer{store: s, from: m, results: results}).run(ctx, &fleetpb.CopyRequest{
@@ -214,7 +214,7 @@
 	var batch []*fleetpb.Record
 	bytes := 0
 	for _, name := range s.programs() {
-		if !ledger.Needs(req.GetView(), req.GetRequester().GetStorage(), name, req.GetAll()) {
+		if !ledger.MustCopy(req.GetView(), req.GetRequester().GetStorage(), name, req.GetAll()) {
 			continue
 		}
 		s.mu.Lock()
--- a/rockbarrow/store/store.go
+++ b/rockbarrow/store/store.go
@@ -36,7 +36,7 @@
 	log *durable.Log
 
 	mu   sync.Mutex
-	book ledger.Book
+	book ledger.StateMachine
 	// epoch is the newest view heard of; calls under older ones are refused. It
 	// never goes back, also over a restart.
 	epoch uint64
@@ -48,8 +48,8 @@
 	changed chan struct{}
 }
 
-// Used reports whether a data folder holds records.
-func Used(dir string) (bool, error) { return durable.HasLog(dir) }
+// HasRecords reports whether a data folder holds records.
+func HasRecords(dir string) (bool, error) { return durable.HasLog(dir) }
 
 // Open replays the disk. The returned function closes it.
 func (s *Store) Open() (func(), error) {
@@ -161,8 +161,8 @@
 	}
 }
 
-// Whole returns the newest view for which this store holds all its records.
-func (s *Store) Whole() uint64 { return s.whole.Load() }
+// CompleteEpoch returns the newest view for which this store holds all its records.
+func (s *Store) CompleteEpoch() uint64 { return s.whole.Load() }
 
 // admit checks a call's view and storage, and raises the fence if the caller
 // knows a newer view. It returns nil if the call may go on.
--- a/rockbarrow/stores/client.go
+++ b/rockbarrow/stores/client.go
@@ -125,12 +125,12 @@
 	t := g.turn
 	for {
 		view := c.Watch.State().GetView()
-		tally := ledger.NewTally(view, t.Program)
-		var total ledger.Total
+		tally := ledger.NewQuorumTracker(view, t.Program)
+		var total ledger.ReservationSet
 		wanted := t.Previous != "" && seen.find(t.Previous) == nil
 		members, first := c.quorumFirst(view, tally.Members())
 		asked := c.nearest(members)
-		got, reason := gather(ctx, c, tally, members, first, func() bool { return tally.Written() && tally.Sure() },
+		got, reason := gather(ctx, c, tally, members, first, func() bool { return tally.HasWriteQuorum() && tally.HasReadQuorum() },
 			func() bool { return c.cannotReachQuorum(t.Program) },
 			func(ctx context.Context, s fleetpb.StoreClient, m *fleetpb.Member) (*fleetpb.ReserveReply, *fleetpb.StoreStatus, error) {
 				r, err := s.Reserve(ctx, &fleetpb.ReserveRequest{
@@ -140,14 +140,14 @@
 				return r, r.GetStatus(), err
 			},
 			func(r *fleetpb.ReserveReply) {
-				total.Add(r.GetReservations())
+				total.Merge(r.GetReservations())
 				seen.add(r.GetChain())
 				if r.GetEndpoint() != "" {
 					g.endpoint = life.Life{ID: r.GetEndpoint(), BornMS: r.GetBornMs()}
 				}
 			})
 		if got == reached {
-			return total.Others(t.reservation), nil
+			return total.TokensExcept(t.reservation), nil
 		}
 		if got == expired || !again(ctx) {
 			return 0, &UnavailableError{Reason: reason, Epoch: view.GetEpoch()}
@@ -262,9 +262,9 @@
 func (c *Client) write(ctx context.Context, program string, req *fleetpb.SettleRequest) error {
 	for {
 		view := c.Watch.State().GetView()
-		tally := ledger.NewTally(view, program)
+		tally := ledger.NewQuorumTracker(view, program)
 		members := tally.Members()
-		got, reason := gather(ctx, c, tally, members, len(members), tally.Written, nil,
+		got, reason := gather(ctx, c, tally, members, len(members), tally.HasWriteQuorum, nil,
 			func(ctx context.Context, s fleetpb.StoreClient, m *fleetpb.Member) (*fleetpb.SettleReply, *fleetpb.StoreStatus, error) {
 				r, err := s.Settle(ctx, &fleetpb.SettleRequest{
 					Epoch: view.GetEpoch(), Storage: m.GetStorage(), Program: req.GetProgram(),
--- a/rockbarrow/stores/group_test.go
+++ b/rockbarrow/stores/group_test.go
@@ -173,7 +173,7 @@
 func (g *group) await(epoch uint64, places ...*place) {
 	g.t.Helper()
 	for _, p := range places {
-		for p.store.Whole() < epoch {
+		for p.store.CompleteEpoch() < epoch {
 			if err := g.t.Context().Err(); err != nil {
 				g.t.Fatal(err)
 			}
--- a/rockbarrow/stores/hedge_test.go
+++ b/rockbarrow/stores/hedge_test.go
@@ -71,10 +71,10 @@
 func gathered(t *testing.T, scripts map[int]script) (took time.Duration, asked []string) {
 	synctest.Test(t, func(t *testing.T) {
 		c, v := fiveStores(t)
-		tally := ledger.NewTally(v, "p")
+		tally := ledger.NewQuorumTracker(v, "p")
 		begun := time.Now()
 		names := make(chan string, len(v.GetMembers()))
-		got, reason := gather(t.Context(), c, tally, v.GetMembers(), 3, tally.Written, nil,
+		got, reason := gather(t.Context(), c, tally, v.GetMembers(), 3, tally.HasWriteQuorum, nil,
 			func(ctx context.Context, _ fleetpb.StoreClient, m *fleetpb.Member) (*fleetpb.SettleReply, *fleetpb.StoreStatus, error) {
 				names <- m.GetInstance()
 				s, ok := scripts[int(m.GetStorage())-1]
--- a/rockbarrow/stores/history.go
+++ b/rockbarrow/stores/history.go
@@ -74,22 +74,22 @@
 // find looks a turn up in the group of its likely home, then everywhere: a
 // program may go on from another one's turn.
 func (c *Client) find(ctx context.Context, id, home string, seen *seen) error {
-	err := c.lookup(ctx, id, seen, func(v *fleetpb.View) (*ledger.Tally, func() bool) {
-		t := ledger.NewTally(v, home)
-		return t, t.Sure
+	err := c.lookup(ctx, id, seen, func(v *fleetpb.View) (*ledger.QuorumTracker, func() bool) {
+		t := ledger.NewQuorumTracker(v, home)
+		return t, t.HasReadQuorum
 	})
 	var unknown *UnknownTurnError
 	if !errors.As(err, &unknown) {
 		return err
 	}
-	return c.lookup(ctx, id, seen, func(v *fleetpb.View) (*ledger.Tally, func() bool) {
-		t := ledger.Everywhere(v)
-		return t, func() bool { return t.SureEverywhere(int(v.GetCopies())) }
+	return c.lookup(ctx, id, seen, func(v *fleetpb.View) (*ledger.QuorumTracker, func() bool) {
+		t := ledger.NewAllStoresTracker(v)
+		return t, func() bool { return t.HasReadQuorumInAllGroups(int(v.GetCopies())) }
 	})
 }
 
 // lookup asks stores for a turn until one has it or enough certainly do not.
-func (c *Client) lookup(ctx context.Context, id string, seen *seen, tally func(*fleetpb.View) (*ledger.Tally, func() bool)) error {
+func (c *Client) lookup(ctx context.Context, id string, seen *seen, tally func(*fleetpb.View) (*ledger.QuorumTracker, func() bool)) error {
 	for {
 		view := c.Watch.State().GetView()
 		t, sure := tally(view)
--- a/rockbarrow/stores/quorum.go
+++ b/rockbarrow/stores/quorum.go
@@ -95,7 +95,7 @@
 // these refuses, a store goes out of reach or they take longer than usual. Each reply that counts goes to take first. It
 // gives up once unreachable reports true, which it asks when stores go out of reach; without it, it waits for all answers.
 func gather[R any](
-	ctx context.Context, c *Client, t *ledger.Tally, members []*fleetpb.Member, first int, enough, unreachable func() bool,
+	ctx context.Context, c *Client, t *ledger.QuorumTracker, members []*fleetpb.Member, first int, enough, unreachable func() bool,
 	call func(context.Context, fleetpb.StoreClient, *fleetpb.Member) (R, *fleetpb.StoreStatus, error),
 	take func(R),
 ) (outcome, string) {
@@ -132,7 +132,7 @@
 		case <-ctx.Done():
 			return expired, reason
 		}
-		if t.Lost() {
+		if t.QuorumLost() {
 			return short, reason
 		}
 		if heard == a.asked {
--- a/rockbarrow/stores/reach.go
+++ b/rockbarrow/stores/reach.go
@@ -73,7 +73,7 @@
 func reaches(v *fleetpb.View, program string, out func(*fleetpb.Member) bool) bool {
 	copies := int(v.GetCopies())
 	present, prior := ledger.Group(v.GetMembers(), program, copies), ledger.Group(v.GetPrior(), program, copies)
-	return countOut(present, out) <= ledger.Losable(len(present)) && countOut(prior, out) <= ledger.Unheard(len(prior))
+	return countOut(present, out) <= ledger.MaxWriteFailures(len(present)) && countOut(prior, out) <= ledger.MaxReadFailures(len(prior))
 }
 
 func countOut(group []*fleetpb.Member, out func(*fleetpb.Member) bool) int {
