--- a/rockbarrow/stores/cache.go
+++ b/rockbarrow/stores/cache.go
@@ -9,22 +9,22 @@
 	"rockbarrow.dev/schema/fleetpb"
 )
 
-// turnOverhead is what a kept turn costs beside its texts, in bytes.
+// turnOverhead is the estimated memory of a cached turn beyond its input and output, in bytes.
 const turnOverhead = 400
 
-// Cache keeps the turns seen lately, up to a number of bytes. Turns never
-// change, so that what it returns is always right.
+// Cache is an LRU cache of turns, bounded by their size. Turns are immutable,
+// so entries are never invalidated.
 type Cache struct {
-	// MaxBytes bounds the cache.
+	// MaxBytes limits the estimated memory of the cached turns.
 	MaxBytes int
 
-	mu    sync.Mutex
-	used  int
-	order list.List
-	byID  map[string]*list.Element
+	mu        sync.Mutex
+	usedBytes int
+	lru       list.List
+	byID      map[string]*list.Element
 }
 
-// Get returns a turn, or nil.
+// Get returns the turn with the given id, or nil if it is not cached.
 func (c *Cache) Get(id string) *fleetpb.Turn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -32,11 +32,11 @@
 	if e == nil {
 		return nil
 	}
-	c.order.MoveToFront(e)
+	c.lru.MoveToFront(e)
 	return e.Value.(*fleetpb.Turn)
 }
 
-// Add keeps a turn and drops those used the longest ago.
+// Add caches a turn and evicts the least recently used ones beyond MaxBytes.
 func (c *Cache) Add(t *fleetpb.Turn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -46,13 +46,13 @@
 	if c.byID == nil {
 		c.byID = map[string]*list.Element{}
 	}
-	c.byID[t.GetId()] = c.order.PushFront(t)
-	c.used += weigh(t)
-	for c.used > c.MaxBytes && c.order.Len() > 1 {
-		old := c.order.Remove(c.order.Back()).(*fleetpb.Turn)
+	c.byID[t.GetId()] = c.lru.PushFront(t)
+	c.usedBytes += turnSize(t)
+	for c.usedBytes > c.MaxBytes && c.lru.Len() > 1 {
+		old := c.lru.Remove(c.lru.Back()).(*fleetpb.Turn)
 		delete(c.byID, old.GetId())
-		c.used -= weigh(old)
+		c.usedBytes -= turnSize(old)
 	}
 }
 
-func weigh(t *fleetpb.Turn) int { return len(t.GetInput()) + len(t.GetOutput()) + turnOverhead }
+func turnSize(t *fleetpb.Turn) int { return len(t.GetInput()) + len(t.GetOutput()) + turnOverhead }
--- a/rockbarrow/stores/client.go
+++ b/rockbarrow/stores/client.go
@@ -19,77 +19,79 @@
 )
 
 const (
-	// overBudgetTries is how often a turn that does not fit is tried again: two
-	// that reserve at the same moment may each see the other and both step back.
-	overBudgetTries = 3
-	// overBudgetPause lies between these tries; a reservation takes some 5 ms.
-	overBudgetPause = 25 * time.Millisecond
+	// maxBudgetAttempts is the number of attempts for a turn that exceeds the
+	// budget: concurrent reservations may each see the other and both fail.
+	maxBudgetAttempts = 3
+	// budgetRetryDelay is the delay between these attempts.
+	budgetRetryDelay = 25 * time.Millisecond
 )
 
-// Client calls store instances. Set the exported fields before the first call.
+// Client calls store instances. The exported fields must be set before the first call.
 type Client struct {
 	Watch *watch.Client
 	Pool  *dial.Pool
-	// Domain is the own failure domain, whose stores are asked for histories.
+	// Domain is the failure domain of this instance; its stores are preferred.
 	Domain string
-	// TurnCache holds the turns seen lately.
+	// TurnCache holds recently used turns.
 	TurnCache *Cache
-	// HedgeDelay is how long a quorum that was asked first may take before the other stores are asked too; zero means
-	// the default.
+	// HedgeDelay is how long to wait for the initial quorum before the remaining
+	// stores are called too; zero means the default.
 	HedgeDelay time.Duration
 
-	health  health
-	samples samples
+	health      health
+	sampleCache sampleCache
 }
 
-// Turn is a turn that wants to run.
+// Turn describes a turn to reserve tokens for.
 type Turn struct {
-	// ID names the turn, Program whose budget it spends, and Customer whose program that is, or is "".
+	// ID identifies the turn, Program owns the budget that it spends, and
+	// Customer owns the program, or is "".
 	ID, Program, Customer string
-	// reservation names what is set aside. One that was given back counts as
-	// settled for ever, so that another try needs another name.
+	// reservation is the id of the reservation. A released reservation stays
+	// settled, so each attempt uses a new id.
 	reservation string
-	// Previous is the turn that it goes on from, or "".
+	// Previous is the id of the turn that it continues, or "".
 	Previous string
-	// MaxTokens is how many tokens it may generate.
+	// MaxTokens is the number of tokens that it may generate.
 	MaxTokens uint64
-	// Budget bounds the tokens of all turns of the program; zero is no bound.
+	// Budget limits the tokens of all turns of the program; zero means unlimited.
 	Budget uint64
-	// Retention is how long turns are kept.
+	// Retention is how long the stores keep the program's records.
 	Retention time.Duration
 }
 
-// Grant is what a turn may go on with.
+// Grant is a successful reservation and the context for running its turn.
 type Grant struct {
-	// turn is the turn with the reservation that was made for it.
+	// turn includes the id of the reservation.
 	turn Turn
-	// history are the turns before it, oldest first.
+	// history holds the preceding turns, oldest first.
 	history []*fleetpb.Turn
 	home    string
-	// endpoint served a turn of the program lately; it has no id if none is known.
+	// endpoint served the program's most recent settled turn; its id is empty if unknown.
 	endpoint life.Life
 }
 
-// History returns the turns before, oldest first.
+// History returns the preceding turns, oldest first.
 func (g *Grant) History() []*fleetpb.Turn { return g.history }
 
-// Endpoint returns the endpoint that served the program lately, without an id if none is known.
+// Endpoint returns the endpoint that served the program's most recent settled
+// turn. Its id is empty if none is known.
 func (g *Grant) Endpoint() life.Life { return g.endpoint }
 
-// Home returns the program whose stores keep the chain.
+// Home returns the program whose stores keep the chain of turns.
 func (g *Grant) Home() string { return g.home }
 
-// Reserve sets the turn's most tokens aside, durably, and returns its history.
-// After an error what was reserved is given back in the background.
+// Reserve durably reserves the turn's maximum tokens and returns its history.
+// After an error the reservation is released in the background.
 func (c *Client) Reserve(ctx context.Context, t Turn) (*Grant, error) {
-	for try := 1; ; try++ {
-		t.reservation = fmt.Sprintf("%s/%d", t.ID, try)
+	for attempt := 1; ; attempt++ {
+		t.reservation = fmt.Sprintf("%s/%d", t.ID, attempt)
 		g, err := c.reserve(ctx, t)
 		var over *OverBudgetError
-		if !errors.As(err, &over) || try == overBudgetTries {
+		if !errors.As(err, &over) || attempt == maxBudgetAttempts {
 			return g, err
 		}
-		if !wait.For(ctx, overBudgetPause) {
+		if !wait.For(ctx, budgetRetryDelay) {
 			return nil, err
 		}
 	}
@@ -97,14 +99,14 @@
 
 func (c *Client) reserve(ctx context.Context, t Turn) (*Grant, error) {
 	g := &Grant{turn: t, home: t.Program}
-	seen := newSeen(c.TurnCache)
+	seen := newTurnIndex(c.TurnCache)
 	used, err := c.reserveTokens(ctx, g, seen)
 	if err != nil {
-		c.void(ctx, t)
+		c.release(ctx, t)
 		return nil, err
 	}
 	if t.Budget > 0 && used+t.MaxTokens > t.Budget {
-		c.void(ctx, t)
+		c.release(ctx, t)
 		return nil, &OverBudgetError{Budget: t.Budget, Used: used, MaxTokens: t.MaxTokens}
 	}
 	if t.Previous == "" {
@@ -112,30 +114,30 @@
 	}
 	history, err := c.history(ctx, t, seen)
 	if err != nil {
-		c.void(ctx, t)
+		c.release(ctx, t)
 		return nil, err
 	}
 	g.history, g.home = history, history[0].GetHome()
 	return g, nil
 }
 
-// reserveTokens writes the reservation on a majority and learns what the other
-// turns have used.
-func (c *Client) reserveTokens(ctx context.Context, g *Grant, seen *seen) (used uint64, err error) {
+// reserveTokens writes the reservation to a quorum and returns the tokens used
+// or reserved by the program's other turns.
+func (c *Client) reserveTokens(ctx context.Context, g *Grant, seen *turnIndex) (used uint64, err error) {
 	t := g.turn
 	for {
 		view := c.Watch.State().GetView()
-		tally := ledger.NewQuorumTracker(view, t.Program)
+		tracker := ledger.NewQuorumTracker(view, t.Program)
 		var total ledger.ReservationSet
-		wanted := t.Previous != "" && seen.find(t.Previous) == nil
-		members, first := c.quorumFirst(view, tally.Members())
-		asked := c.nearest(members)
-		got, reason := gather(ctx, c, tally, members, first, func() bool { return tally.HasWriteQuorum() && tally.HasReadQuorum() },
-			func() bool { return c.cannotReachQuorum(t.Program) },
+		needChain := t.Previous != "" && seen.get(t.Previous) == nil
+		members, first := c.initialQuorum(view, tracker.Members())
+		preferred := c.preferredMember(members)
+		outcome, reason := callQuorum(ctx, c, tracker, members, first, func() bool { return tracker.HasWriteQuorum() && tracker.HasReadQuorum() },
+			func() bool { return c.quorumLost(t.Program) },
 			func(ctx context.Context, s fleetpb.StoreClient, m *fleetpb.Member) (*fleetpb.ReserveReply, *fleetpb.StoreStatus, error) {
 				r, err := s.Reserve(ctx, &fleetpb.ReserveRequest{
 					Epoch: view.GetEpoch(), Storage: m.GetStorage(), Program: t.Program, Turn: t.reservation, Tokens: t.MaxTokens,
-					Previous: t.Previous, Chain: wanted && m == asked, RetainMs: uint64(t.Retention.Milliseconds()),
+					Previous: t.Previous, Chain: needChain && m == preferred, RetainMs: uint64(t.Retention.Milliseconds()),
 				})
 				return r, r.GetStatus(), err
 			},
@@ -146,24 +148,26 @@
 					g.endpoint = life.Life{ID: r.GetEndpoint(), BornMS: r.GetBornMs()}
 				}
 			})
-		if got == reached {
+		if outcome == quorumReached {
 			return total.TokensExcept(t.reservation), nil
 		}
-		if got == expired || !again(ctx) {
+		if outcome == aborted || !waitRetry(ctx) {
 			return 0, &UnavailableError{Reason: reason, Epoch: view.GetEpoch()}
 		}
 	}
 }
 
-// quorumFirst returns the stores of a program, those of the own failure domain first, and how many to ask at first: as
-// many as a reservation needs while nothing is wrong. The settlement goes to all of them and brings the reservation with it.
-func (c *Client) quorumFirst(v *fleetpb.View, members []*fleetpb.Member) ([]*fleetpb.Member, int) {
+// initialQuorum returns the stores of a program, those of the local failure
+// domain first, and how many of them to call initially. That is a quorum if all
+// stores are healthy, and all of them otherwise. Stores that miss the
+// reservation receive it with the settlement, which is sent to all.
+func (c *Client) initialQuorum(v *fleetpb.View, members []*fleetpb.Member) ([]*fleetpb.Member, int) {
 	if len(members) == 0 || len(v.GetPrior()) > 0 {
 		return members, len(members)
 	}
-	if !c.health.allProven(members) {
-		domains := c.provenDomains(v)
-		if slices.ContainsFunc(members, func(m *fleetpb.Member) bool { return !c.isProven(m, domains) }) {
+	if !c.health.allHealthy(members) {
+		domains := c.reachableDomains(v)
+		if slices.ContainsFunc(members, func(m *fleetpb.Member) bool { return !c.isReachable(m, domains) }) {
 			return members, len(members)
 		}
 	}
@@ -179,8 +183,8 @@
 	return ordered, max(ledger.WriteQuorum(n), ledger.ReadQuorum(n))
 }
 
-// nearest prefers a store of the own failure domain.
-func (c *Client) nearest(members []*fleetpb.Member) *fleetpb.Member {
+// preferredMember returns a store in the local failure domain, or else the first store.
+func (c *Client) preferredMember(members []*fleetpb.Member) *fleetpb.Member {
 	for _, m := range members {
 		if m.GetFailureDomain() == c.Domain {
 			return m
@@ -192,43 +196,44 @@
 	return members[0]
 }
 
-// Release gives a reservation back whose turn certainly did not run. It works in
-// the background: until it is done, the program's budget is a little smaller.
-func (c *Client) Release(ctx context.Context, g *Grant) { c.void(ctx, g.turn) }
+// Release returns the reservation of a turn that certainly did not run. It works
+// in the background; until it completes, the tokens count as used.
+func (c *Client) Release(ctx context.Context, g *Grant) { c.release(ctx, g.turn) }
 
-func (c *Client) void(ctx context.Context, t Turn) { c.settleLater(ctx, t, 0, life.Life{}) }
+func (c *Client) release(ctx context.Context, t Turn) { c.settleAsync(ctx, t, 0, life.Life{}) }
 
-// SettleAsync stores in the background what a turn has spent that is not kept itself,
-// and which endpoint served it. Until it is done, the reservation counts at its most.
+// SettleAsync records in the background the tokens spent by a turn that is not
+// stored itself, and the endpoint that served it. Until it completes, the
+// reservation counts with its maximum.
 func (c *Client) SettleAsync(ctx context.Context, g *Grant, spent uint64, endpoint life.Life) {
-	c.settleLater(ctx, g.turn, spent, endpoint)
+	c.settleAsync(ctx, g.turn, spent, endpoint)
 }
 
-func (c *Client) settleLater(ctx context.Context, t Turn, spent uint64, endpoint life.Life) {
-	s := &settling{client: c, turn: t, spent: spent, endpoint: endpoint}
+func (c *Client) settleAsync(ctx context.Context, t Turn, spent uint64, endpoint life.Life) {
+	s := &backgroundSettlement{client: c, turn: t, spent: spent, endpoint: endpoint}
 	go s.run(context.WithoutCancel(ctx))
 }
 
-// settling is a settlement in the background.
-type settling struct {
+// backgroundSettlement writes a settlement without a caller waiting for it.
+type backgroundSettlement struct {
 	client   *Client
 	turn     Turn
 	spent    uint64
 	endpoint life.Life
 }
 
-func (s *settling) run(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, callWithin)
+func (s *backgroundSettlement) run(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	err := s.client.write(ctx, s.turn.Program, s.turn.settled(s.spent, s.endpoint))
+	err := s.client.writeToQuorum(ctx, s.turn.Program, s.turn.settleRequest(s.spent, s.endpoint))
 	if err != nil {
 		s.client.Watch.Log.WithError(err).WithField("request", s.turn.ID).
-			Warn("a reservation was not settled and counts at its most")
+			Warn("reservation was not settled and keeps counting with its maximum")
 	}
 }
 
-// settled is the record that ends a turn's reservation.
-func (t Turn) settled(spent uint64, endpoint life.Life) *fleetpb.SettleRequest {
+// settleRequest returns the request that settles the turn's reservation.
+func (t Turn) settleRequest(spent uint64, endpoint life.Life) *fleetpb.SettleRequest {
 	return &fleetpb.SettleRequest{
 		Program:     t.Program,
 		Reservation: &fleetpb.Reservation{Turn: t.reservation, Tokens: spent, Settled: true, Endpoint: endpoint.ID, BornMs: endpoint.BornMS},
@@ -236,20 +241,20 @@
 	}
 }
 
-// Settle stores what a turn has spent and, if it was answered whole, the turn
-// itself, durably.
+// Settle durably records the tokens spent by a turn and, if the answer was
+// complete, the turn itself.
 func (c *Client) Settle(ctx context.Context, g *Grant, spent uint64, done *fleetpb.Turn) error {
 	t := g.turn
-	req := t.settled(spent, life.Life{ID: done.GetEndpoint(), BornMS: done.GetBornMs()})
+	req := t.settleRequest(spent, life.Life{ID: done.GetEndpoint(), BornMS: done.GetBornMs()})
 	if done != nil && done.GetHome() != t.Program {
-		// The chain belongs to an earlier program, whose stores keep it.
-		if err := c.write(ctx, done.GetHome(), &fleetpb.SettleRequest{Turn: done}); err != nil {
+		// The chain belongs to an earlier program and is kept by its stores.
+		if err := c.writeToQuorum(ctx, done.GetHome(), &fleetpb.SettleRequest{Turn: done}); err != nil {
 			return err
 		}
 	} else {
 		req.Turn = done
 	}
-	if err := c.write(ctx, t.Program, req); err != nil {
+	if err := c.writeToQuorum(ctx, t.Program, req); err != nil {
 		return err
 	}
 	if done != nil {
@@ -258,13 +263,13 @@
 	return nil
 }
 
-// write stores a record on a majority of a program's group.
-func (c *Client) write(ctx context.Context, program string, req *fleetpb.SettleRequest) error {
+// writeToQuorum writes a record to a quorum of the program's group.
+func (c *Client) writeToQuorum(ctx context.Context, program string, req *fleetpb.SettleRequest) error {
 	for {
 		view := c.Watch.State().GetView()
-		tally := ledger.NewQuorumTracker(view, program)
-		members := tally.Members()
-		got, reason := gather(ctx, c, tally, members, len(members), tally.HasWriteQuorum, nil,
+		tracker := ledger.NewQuorumTracker(view, program)
+		members := tracker.Members()
+		outcome, reason := callQuorum(ctx, c, tracker, members, len(members), tracker.HasWriteQuorum, nil,
 			func(ctx context.Context, s fleetpb.StoreClient, m *fleetpb.Member) (*fleetpb.SettleReply, *fleetpb.StoreStatus, error) {
 				r, err := s.Settle(ctx, &fleetpb.SettleRequest{
 					Epoch: view.GetEpoch(), Storage: m.GetStorage(), Program: req.GetProgram(),
@@ -273,10 +278,10 @@
 				return r, r.GetStatus(), err
 			},
 			func(*fleetpb.SettleReply) {})
-		if got == reached {
+		if outcome == quorumReached {
 			return nil
 		}
-		if got == expired || !again(ctx) {
+		if outcome == aborted || !waitRetry(ctx) {
 			return &UnavailableError{Reason: reason, Epoch: view.GetEpoch()}
 		}
 	}
--- a/rockbarrow/stores/group_test.go
+++ b/rockbarrow/stores/cluster_test.go
@@ -22,31 +22,31 @@
 	"rockbarrow.dev/schema/fleetpb"
 )
 
-// quiet drops all log lines.
-func quiet() *logrus.Entry {
+// discardLogger returns a logger that discards its output.
+func discardLogger() *logrus.Entry {
 	l := logrus.New()
 	l.SetOutput(io.Discard)
 	return logrus.NewEntry(l)
 }
 
-// place is one store instance of a test, which may be stopped and started.
-type place struct {
-	t        *testing.T
-	member   *fleetpb.Member
-	dir      string
-	store    *store.Store
-	watch    *watch.Client
-	stop     func()
-	reserves reserves
+// testStore is a store instance that can be stopped and started.
+type testStore struct {
+	t            *testing.T
+	member       *fleetpb.Member
+	dir          string
+	store        *store.Store
+	watch        *watch.Client
+	stop         func()
+	reserveCalls callCounter
 }
 
-// reserves counts the reservations that a store was asked for, by program.
-type reserves struct {
+// callCounter counts the Reserve calls to a store by program.
+type callCounter struct {
 	mu     sync.Mutex
 	counts map[string]int
 }
 
-func (r *reserves) add(program string) {
+func (r *callCounter) add(program string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.counts == nil {
@@ -55,26 +55,26 @@
 	r.counts[program]++
 }
 
-func (r *reserves) of(program string) int {
+func (r *callCounter) count(program string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.counts[program]
 }
 
-// counted is a store whose calls are counted.
-type counted struct {
+// countingStore is a store whose Reserve calls are counted.
+type countingStore struct {
 	*store.Store
-	reserves *reserves
+	calls *callCounter
 }
 
-// Reserve counts a call.
-func (c *counted) Reserve(ctx context.Context, req *fleetpb.ReserveRequest) (*fleetpb.ReserveReply, error) {
-	c.reserves.add(req.GetProgram())
+// Reserve counts the call and forwards it to the store.
+func (c *countingStore) Reserve(ctx context.Context, req *fleetpb.ReserveRequest) (*fleetpb.ReserveReply, error) {
+	c.calls.add(req.GetProgram())
 	return c.Store.Reserve(ctx, req)
 }
 
-// start runs a store on a folder. Its address stays the same over restarts.
-func (p *place) start() {
+// start runs the store. Its directory and address stay the same across restarts.
+func (p *testStore) start() {
 	address := p.member.GetAddress()
 	if address == "" {
 		address = "127.0.0.1:0"
@@ -84,12 +84,12 @@
 		p.t.Fatal(err)
 	}
 	if p.member.GetAddress() == "" {
-		// Clients may read it from now on.
+		// Written only once, as clients read it concurrently from now on.
 		p.member.Address = l.Addr().String()
 	}
-	p.watch = &watch.Client{Self: p.member, Log: quiet()}
+	p.watch = &watch.Client{Self: p.member, Log: discardLogger()}
 	pool := &dial.Pool{}
-	s := &store.Store{Self: p.member, DataDir: p.dir, Watch: p.watch, Pool: pool, Log: quiet(), Metrics: tally.NoopScope}
+	s := &store.Store{Self: p.member, DataDir: p.dir, Watch: p.watch, Pool: pool, Log: discardLogger(), Metrics: tally.NoopScope}
 	closeLog, err := s.Open()
 	if err != nil {
 		p.t.Fatal(err)
@@ -97,11 +97,11 @@
 	p.store = s
 	p.watch.Changed = s.Wake
 	g := dial.Server()
-	fleetpb.RegisterStoreServer(g, &counted{Store: s, reserves: &p.reserves})
+	fleetpb.RegisterStoreServer(g, &countingStore{Store: s, calls: &p.reserveCalls})
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
 	running.Go(func() { s.Run(ctx) })
-	running.Go(func() { serve(g, l) })
+	running.Go(func() { serveUntilStopped(g, l) })
 	p.stop = sync.OnceFunc(func() {
 		cancel()
 		g.Stop()
@@ -112,82 +112,82 @@
 	p.t.Cleanup(p.stop)
 }
 
-func serve(g *grpc.Server, l net.Listener) {
-	// Serve returns an error once the test stops it.
+func serveUntilStopped(g *grpc.Server, l net.Listener) {
+	// Serve returns an error once the test stops the server.
 	if err := g.Serve(l); err != nil {
 		return
 	}
 }
 
-// group is three stores and a client of them.
-type group struct {
+// testCluster is a set of stores, initially three, and a client of them.
+type testCluster struct {
 	t      *testing.T
-	places []*place
+	stores []*testStore
 	state  *fleetpb.State
 	client *stores.Client
 }
 
-func newGroup(t *testing.T) *group {
-	g := &group{t: t, state: &fleetpb.State{Number: 1, View: &fleetpb.View{Epoch: 1, Copies: 3}}}
+func newTestCluster(t *testing.T) *testCluster {
+	g := &testCluster{t: t, state: &fleetpb.State{Number: 1, View: &fleetpb.View{Epoch: 1, Copies: 3}}}
 	for i := range 3 {
-		p := &place{t: t, dir: t.TempDir(), member: &fleetpb.Member{
+		p := &testStore{t: t, dir: t.TempDir(), member: &fleetpb.Member{
 			Instance: fmt.Sprint("store-", i), Storage: uint64(i + 1), FailureDomain: fmt.Sprint("domain-", i),
 		}}
 		p.start()
-		g.places = append(g.places, p)
+		g.stores = append(g.stores, p)
 		g.state.View.Members = append(g.state.View.Members, p.member)
 	}
 	g.client = g.newClient()
-	g.spread()
-	g.await(1, g.places...)
+	g.publishState()
+	g.awaitCopied(1, g.stores...)
 	return g
 }
 
-func (g *group) newClient() *stores.Client {
-	w := &watch.Client{Self: &fleetpb.Member{Instance: "entry"}, Log: quiet()}
+func (g *testCluster) newClient() *stores.Client {
+	w := &watch.Client{Self: &fleetpb.Member{Instance: "entry"}, Log: discardLogger()}
 	w.Offer(g.state)
 	pool := &dial.Pool{}
 	g.t.Cleanup(pool.Close)
 	return &stores.Client{Watch: w, Pool: pool, Domain: "domain-1", TurnCache: &stores.Cache{MaxBytes: 1 << 20}}
 }
 
-// change brings another state into force everywhere.
-func (g *group) change(f func(s *fleetpb.View)) {
+// changeView publishes a state with a modified view and the next epoch.
+func (g *testCluster) changeView(f func(s *fleetpb.View)) {
 	next := &fleetpb.State{Number: g.state.GetNumber() + 1, View: &fleetpb.View{
 		Epoch: g.state.GetView().GetEpoch() + 1, Copies: 3,
 		Members: g.state.GetView().GetMembers(), Prior: g.state.GetView().GetPrior(),
 	}}
 	f(next.View)
 	g.state = next
-	g.spread()
+	g.publishState()
 }
 
-func (g *group) spread() {
+func (g *testCluster) publishState() {
 	g.client.Watch.Offer(g.state)
-	for _, p := range g.places {
+	for _, p := range g.stores {
 		p.watch.Offer(g.state)
 	}
 }
 
-// await waits until stores hold all records of a view.
-func (g *group) await(epoch uint64, places ...*place) {
+// awaitCopied waits until stores hold all records of a view.
+func (g *testCluster) awaitCopied(epoch uint64, targets ...*testStore) {
 	g.t.Helper()
-	for _, p := range places {
+	for _, p := range targets {
 		for p.store.CompleteEpoch() < epoch {
 			if err := g.t.Context().Err(); err != nil {
 				g.t.Fatal(err)
 			}
-			pauseBriefly()
+			sleepBriefly()
 		}
 	}
 }
 
-func pauseBriefly() {
+func sleepBriefly() {
 	t := time.NewTimer(time.Millisecond)
 	<-t.C
 }
 
-func (g *group) run(c *stores.Client, t stores.Turn, spent uint64) error {
+func (g *testCluster) runTurn(c *stores.Client, t stores.Turn, spent uint64) error {
 	grant, err := c.Reserve(context.Background(), t)
 	if err != nil {
 		return err
@@ -197,14 +197,14 @@
 	})
 }
 
-func (g *group) must(err error) {
+func (g *testCluster) noError(err error) {
 	g.t.Helper()
 	if err != nil {
 		g.t.Fatal(err)
 	}
 }
 
-func history(g *stores.Grant) string {
+func historyText(g *stores.Grant) string {
 	out := ""
 	for _, t := range g.History() {
 		out += string(t.GetInput()) + string(t.GetOutput())
--- a/rockbarrow/stores/doc.go
+++ b/rockbarrow/stores/doc.go
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: MIT
 
-// Package stores is the client of store instances: an entry instance reserves
-// and settles turns through it, and gets the history of a program.
+// Package stores is the client of store instances. Entry instances use it to
+// reserve and settle the tokens of turns and to read the history of a program.
 //
-// A [Client] calls all stores of a program's group at once and goes on with the
-// first majority, so that the loss of a store costs no time. Turns never change,
-// so that those seen lately are kept here and fetched from nowhere.
+// A [Client] replicates each record to the program's group of stores and
+// proceeds once a quorum has acknowledged it, so that the loss of one store
+// adds no latency. Turns are immutable, so recently read turns are cached.
 package stores
--- a/rockbarrow/stores/errors.go
+++ b/rockbarrow/stores/errors.go
@@ -4,33 +4,33 @@
 
 import "fmt"
 
-// OverBudgetError says that a turn does not fit into its program's budget.
+// OverBudgetError reports that a turn exceeds the token budget of its program.
 type OverBudgetError struct {
-	// Budget is the program's, Used what its other turns have spent or reserved,
-	// and MaxTokens what this one may generate, in tokens.
+	// Budget is the program's budget, Used the tokens spent or reserved by its
+	// other turns, and MaxTokens the tokens that this turn may generate.
 	Budget, Used, MaxTokens uint64
 }
 
-// Error describes the sum.
+// Error implements error.
 func (e *OverBudgetError) Error() string {
-	return fmt.Sprintf("stores: %d tokens used and %d wanted of a budget of %d", e.Used, e.MaxTokens, e.Budget)
+	return fmt.Sprintf("stores: budget exceeded: %d tokens used, %d requested, budget %d", e.Used, e.MaxTokens, e.Budget)
 }
 
-// UnknownTurnError says that no store holds a turn, and that they would.
+// UnknownTurnError reports that a read quorum of the stores does not have a turn.
 type UnknownTurnError struct{ Turn string }
 
-// Error names the turn.
-func (e *UnknownTurnError) Error() string { return "stores: no turn " + e.Turn }
+// Error implements error.
+func (e *UnknownTurnError) Error() string { return "stores: unknown turn " + e.Turn }
 
-// UnavailableError says that no majority of the stores answered in time.
+// UnavailableError reports that no quorum of the stores answered in time.
 type UnavailableError struct {
-	// Reason tells what was missing.
+	// Reason is why the last attempt failed.
 	Reason string
-	// Epoch is the view that was tried.
+	// Epoch is the view of the last attempt.
 	Epoch uint64
 }
 
-// Error describes what was missing.
+// Error implements error.
 func (e *UnavailableError) Error() string {
 	return fmt.Sprintf("stores: unavailable under view %d: %s", e.Epoch, e.Reason)
 }
--- a/rockbarrow/stores/export_test.go
+++ b/rockbarrow/stores/export_test.go
@@ -2,7 +2,7 @@
 
 package stores
 
-// AllAnswered reports whether all stores have answered their last calls.
+// AllAnswered reports whether all stores answered their last calls.
 func (c *Client) AllAnswered() bool {
-	return c.health.allProven(c.Watch.State().GetView().GetMembers())
+	return c.health.allHealthy(c.Watch.State().GetView().GetMembers())
 }
--- a/rockbarrow/stores/health.go
+++ b/rockbarrow/stores/health.go
@@ -13,29 +13,30 @@
 )
 
 const (
-	// suspectAfter is how long a call may stay unanswered before its store counts
-	// as out of reach. A call takes some 5 ms, and 50 under a burst.
-	suspectAfter = 250 * time.Millisecond
-	// probeEvery is how often a store out of reach is asked again, probeWithin
-	// how long it may take to answer.
-	probeEvery  = 200 * time.Millisecond
-	probeWithin = 300 * time.Millisecond
+	// unresponsiveAfter is how long a call may stay unanswered before its store
+	// counts as unreachable. It is well above the latency of a call under load.
+	unresponsiveAfter = 250 * time.Millisecond
+	// probeInterval is the time between probes of an unreachable store,
+	// probeTimeout the time limit of one probe.
+	probeInterval = 200 * time.Millisecond
+	probeTimeout  = 300 * time.Millisecond
 )
 
-// health is which stores answer. Calls tell it; only stores out of reach are
-// probed, so that it costs nothing on a calm day. The zero value is ready.
+// health tracks which stores answer. It is updated by calls; only unreachable and
+// unknown stores are probed, so healthy stores get no extra traffic. The zero
+// value is ready to use.
 type health struct {
 	mu sync.Mutex
-	// out holds the storages that did not answer their last call.
-	out map[uint64]bool
-	// met holds the storages that have answered this process at least once.
-	met map[uint64]bool
-	// changed is closed when a storage goes out of reach or comes back.
+	// unreachable holds the storages that did not answer their last call.
+	unreachable map[uint64]bool
+	// answered holds the storages that have answered this process at least once.
+	answered map[uint64]bool
+	// changed is closed when a storage becomes unreachable or reachable again.
 	changed chan struct{}
 }
 
-// change returns a channel that is closed at the next change.
-func (h *health) change() <-chan struct{} {
+// nextChange returns a channel that is closed at the next change of reachability.
+func (h *health) nextChange() <-chan struct{} {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.changed == nil {
@@ -44,83 +45,84 @@
 	return h.changed
 }
 
-func (h *health) set(storage uint64, out bool) (changed bool) {
+func (h *health) setUnreachable(storage uint64, unreachable bool) (changed bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.out == nil {
-		h.out, h.met = map[uint64]bool{}, map[uint64]bool{}
+	if h.unreachable == nil {
+		h.unreachable, h.answered = map[uint64]bool{}, map[uint64]bool{}
 	}
-	if !out {
-		h.met[storage] = true
+	if !unreachable {
+		h.answered[storage] = true
 	}
-	if h.out[storage] == out {
+	if h.unreachable[storage] == unreachable {
 		return false
 	}
 	if h.changed != nil {
 		close(h.changed)
 		h.changed = nil
 	}
-	if out {
-		h.out[storage] = true
+	if unreachable {
+		h.unreachable[storage] = true
 	} else {
-		delete(h.out, storage)
+		delete(h.unreachable, storage)
 	}
 	return true
 }
 
-func (h *health) allThere() bool {
+func (h *health) noneUnreachable() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return len(h.out) == 0
+	return len(h.unreachable) == 0
 }
 
-func (h *health) isOut(storage uint64) bool {
+func (h *health) isUnreachable(storage uint64) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.out[storage]
+	return h.unreachable[storage]
 }
 
-// proven reports whether a store has answered, also its last call.
-func (h *health) proven(storage uint64) bool {
+// isHealthy reports whether a store has answered its last call.
+func (h *health) isHealthy(storage uint64) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.met[storage] && !h.out[storage]
+	return h.answered[storage] && !h.unreachable[storage]
 }
 
-// known reports whether anything was told of a store.
-func (h *health) known(storage uint64) bool {
+// isKnown reports whether the outcome of any call to a store is known.
+func (h *health) isKnown(storage uint64) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.met[storage] || h.out[storage]
+	return h.answered[storage] || h.unreachable[storage]
 }
 
-// allProven reports whether stores have all answered, also their last calls, and no other store is out. It is asked for with
-// each request, and spares the look at groups while nothing is wrong.
-func (h *health) allProven(list []*fleetpb.Member) bool {
+// allHealthy reports whether all listed stores have answered their last calls
+// and no other store is unreachable. It is the fast path of each request, which
+// then need not compute groups.
+func (h *health) allHealthy(list []*fleetpb.Member) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if len(h.out) > 0 {
+	if len(h.unreachable) > 0 {
 		return false
 	}
 	for _, m := range list {
-		if !h.met[m.GetStorage()] {
+		if !h.answered[m.GetStorage()] {
 			return false
 		}
 	}
 	return true
 }
 
-// gone reports whether a store has answered once and no longer does. One that has never
-// answered may be starting.
-func (h *health) gone(storage uint64) bool {
+// isLost reports whether a store has answered before and no longer does. A store
+// that has never answered may still be starting.
+func (h *health) isLost(storage uint64) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.met[storage] && h.out[storage]
+	return h.answered[storage] && h.unreachable[storage]
 }
 
-// observe tells how a store took a call.
-func (c *Client) observe(m *fleetpb.Member, err error) {
-	if !c.health.set(m.GetStorage(), err != nil) {
+// recordResult updates a store's health with the result of a call.
+func (c *Client) recordResult(m *fleetpb.Member, err error) {
+	if !c.health.setUnreachable(m.GetStorage(), err != nil) {
 		return
 	}
 	l := c.Watch.Log.WithField("store", m.GetInstance())
@@ -131,95 +133,95 @@
 	l.Info("store is reached again")
 }
 
-// suspectError says that a call has no answer yet.
-type suspectError struct{}
+// noResponseError reports that a call has not been answered yet.
+type noResponseError struct{}
 
-func (e *suspectError) Error() string { return "no answer within " + suspectAfter.String() }
+func (e *noResponseError) Error() string { return "no answer within " + unresponsiveAfter.String() }
 
-// suspicion marks a store as out of reach while its call has no answer.
-type suspicion struct {
-	client *Client
-	member *fleetpb.Member
-	asked  time.Time
+// responseTimeout marks a store as unreachable if a call stays unanswered.
+type responseTimeout struct {
+	client  *Client
+	member  *fleetpb.Member
+	started time.Time
 }
 
-func (s *suspicion) run() {
-	if !wasStalled(s.asked, suspectAfter) {
-		s.client.observe(s.member, &suspectError{})
+func (s *responseTimeout) run() {
+	if !processStalled(s.started, unresponsiveAfter) {
+		s.client.recordResult(s.member, &noResponseError{})
 	}
 }
 
-// stallSlack is how late a timer may be before this process, and not the peer, is
-// taken for the one that stood still.
-const stallSlack = 150 * time.Millisecond
+// stallTolerance is how late a timer may fire before this process, rather than
+// the store, is assumed to have been paused.
+const stallTolerance = 150 * time.Millisecond
 
-// wasStalled reports whether a timer that was set for a time fired much later:
-// what came in meanwhile has not been read yet, so that silence means nothing.
-func wasStalled(set time.Time, wait time.Duration) bool {
-	return time.Since(set) > wait+stallSlack
+// processStalled reports whether a timer fired much later than it was set for.
+// Answers may then be waiting unread, so a missing answer proves nothing.
+func processStalled(set time.Time, wait time.Duration) bool {
+	return time.Since(set) > wait+stallTolerance
 }
 
-// viewTick is how often a process that has just started looks for the first view.
-const viewTick = 5 * time.Millisecond
+// viewPollInterval is the polling interval for the first view after a start.
+const viewPollInterval = 5 * time.Millisecond
 
-// Run probes stores that are out of reach and a sample of those that have not answered yet, and all that are known while
-// most voters are silent, until ctx ends.
+// Run probes stores until ctx ends: the unreachable ones, a sample of those that
+// have not answered yet and, while most voters are silent, all known ones.
 func (c *Client) Run(ctx context.Context) {
 	for c.Watch.State().GetView() == nil {
-		if !wait.For(ctx, viewTick) {
+		if !wait.For(ctx, viewPollInterval) {
 			return
 		}
 	}
-	c.probe(ctx)
-	t := time.NewTicker(probeEvery)
+	c.probeStores(ctx)
+	t := time.NewTicker(probeInterval)
 	defer t.Stop()
 	for {
 		select {
 		case <-t.C:
-			c.probe(ctx)
+			c.probeStores(ctx)
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// probe asks stores whether they are there. An instance that serves few turns would
-// not notice by itself that it is cut off; the silence of most voters is the sign to
-// look.
-func (c *Client) probe(ctx context.Context) {
+// probeStores starts the probes that are due. An instance that serves few turns
+// would not notice a network partition by its own calls, so the silence of most
+// voters triggers probes of all known stores.
+func (c *Client) probeStores(ctx context.Context) {
 	v := c.Watch.State().GetView()
 	cutOff := c.Watch.CutOff()
-	ask := func(m *fleetpb.Member) {
-		if cutOff || !c.health.proven(m.GetStorage()) {
-			go (&prober{client: c, member: m, epoch: v.GetEpoch()}).run(ctx)
+	probeIfNeeded := func(m *fleetpb.Member) {
+		if cutOff || !c.health.isHealthy(m.GetStorage()) {
+			go (&probe{client: c, member: m, epoch: v.GetEpoch()}).run(ctx)
 		}
 	}
-	sample := c.samples.of(v, c.Watch.Self)
+	sample := c.sampleCache.get(v, c.Watch.Self)
 	for _, m := range sample {
-		ask(m)
+		probeIfNeeded(m)
 	}
-	if !cutOff && c.health.allThere() {
+	if !cutOff && c.health.noneUnreachable() {
 		return
 	}
 	for _, list := range [][]*fleetpb.Member{v.GetMembers(), v.GetPrior()} {
 		for _, m := range list {
-			if c.health.known(m.GetStorage()) && !slices.Contains(sample, m) {
-				ask(m)
+			if c.health.isKnown(m.GetStorage()) && !slices.Contains(sample, m) {
+				probeIfNeeded(m)
 			}
 		}
 	}
 }
 
-// prober asks one store whether it is there.
-type prober struct {
+// probe checks whether one store answers.
+type probe struct {
 	client *Client
 	member *fleetpb.Member
 	epoch  uint64
 }
 
-func (p *prober) run(ctx context.Context) {
-	asked := time.Now()
-	ctx, cancel := context.WithTimeout(ctx, probeWithin)
+func (p *probe) run(ctx context.Context) {
+	started := time.Now()
+	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	conn, err := p.client.Pool.Get(p.member.GetAddress())
 	if err == nil {
@@ -227,10 +229,10 @@
 	}
 	switch {
 	case err == nil:
-		p.client.observe(p.member, nil)
-	case !p.client.health.proven(p.member.GetStorage()):
-		// It may be starting too. Requests try it, and wait for it a little.
-	case !wasStalled(asked, probeWithin):
-		p.client.observe(p.member, err)
+		p.client.recordResult(p.member, nil)
+	case !p.client.health.isHealthy(p.member.GetStorage()):
+		// The store may still be starting. Requests call it and wait briefly.
+	case !processStalled(started, probeTimeout):
+		p.client.recordResult(p.member, err)
 	}
 }
--- a/rockbarrow/stores/health_test.go
+++ b/rockbarrow/stores/health_test.go
@@ -17,8 +17,8 @@
 	"rockbarrow.dev/schema/fleetpb"
 )
 
-// TestALostDomainLeavesEachGroupItsQuorum: of eight stores with five copies, three
-// in one domain are lost. No group has more than two of them.
+// TestALostDomainLeavesEachGroupItsQuorum checks that the loss of one failure
+// domain, with three of eight stores, leaves each group of five a quorum.
 func TestALostDomainLeavesEachGroupItsQuorum(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -28,35 +28,35 @@
 		members = append(members, &fleetpb.Member{Instance: fmt.Sprint("store-", i), Storage: uint64(i + 1), FailureDomain: domain})
 	}
 	c.Watch.Offer(&fleetpb.State{Number: 1, View: &fleetpb.View{Epoch: 1, Members: members, Copies: 5}})
-	lose := func(from, to int) {
+	setLost := func(from, to int) {
 		for _, m := range members[from:to] {
-			c.observe(m, errors.New("silent"))
+			c.recordResult(m, errors.New("silent"))
 		}
 	}
 	for _, m := range members {
-		c.observe(m, nil)
+		c.recordResult(m, nil)
 	}
-	lose(3, 6)
+	setLost(3, 6)
 	for i := range 100 {
 		if !c.ProgramReachable(fmt.Sprint("program-", i)) {
-			t.Fatalf("program %d has no quorum without one failure domain", i)
+			t.Fatalf("program %d has no quorum after the loss of one failure domain", i)
 		}
 	}
 	if !c.Reachable() {
-		t.Error("stores count as out of reach without one failure domain")
+		t.Error("Reachable is false after the loss of one failure domain")
 	}
-	lose(6, 8)
+	setLost(6, 8)
 	if c.Reachable() {
-		t.Error("stores count as reached without two failure domains")
+		t.Error("Reachable is true after the loss of two failure domains")
 	}
 }
 
-// TestAReservationIsGivenUpOnceItsStoresAreOutOfReach: it does not wait until its time is
-// over for stores that have been found silent meanwhile.
+// TestAReservationIsGivenUpOnceItsStoresAreOutOfReach guards against waiting for
+// the deadline when the stores became unreachable during the call.
 func TestAReservationIsGivenUpOnceItsStoresAreOutOfReach(t *testing.T) {
 	var members []*fleetpb.Member
 	for i := range 3 {
-		// They take connections and never answer.
+		// These stores accept connections and never answer.
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
@@ -71,17 +71,17 @@
 	pool := &dial.Pool{}
 	t.Cleanup(pool.Close)
 	c := &Client{Watch: w, Pool: pool, TurnCache: &Cache{MaxBytes: 1}}
-	given := make(chan error, 1)
+	result := make(chan error, 1)
 	go func() {
 		_, err := c.Reserve(t.Context(), Turn{ID: "1", Program: "p", MaxTokens: 1})
-		given <- err
+		result <- err
 	}()
 	for _, m := range members[:2] {
-		c.observe(m, nil)
-		c.observe(m, &suspectError{})
+		c.recordResult(m, nil)
+		c.recordResult(m, &noResponseError{})
 	}
-	// The context has no end: only the loss of the stores ends it.
-	if err := <-given; err == nil {
-		t.Error("a reservation without its stores")
+	// The context has no deadline: only the loss of the stores ends the call.
+	if err := <-result; err == nil {
+		t.Error("the reservation succeeded without its stores")
 	}
 }
--- a/rockbarrow/stores/hedge_test.go
+++ b/rockbarrow/stores/hedge_test.go
@@ -20,8 +20,9 @@
 	"rockbarrow.dev/schema/fleetpb"
 )
 
-// fiveStores returns a client whose five stores have all answered, in three failure domains.
-func fiveStores(t *testing.T) (*Client, *fleetpb.View) {
+// newFiveStoreClient returns a client and its view of five stores in three
+// failure domains, all of which have answered.
+func newFiveStoreClient(t *testing.T) (*Client, *fleetpb.View) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	pool := &dial.Pool{}
@@ -31,66 +32,68 @@
 	for i, domain := range []string{"a", "a", "b", "b", "c"} {
 		m := &fleetpb.Member{Instance: fmt.Sprint("store-", i), Storage: uint64(i + 1), FailureDomain: domain, Address: "127.0.0.1:1"}
 		v.Members = append(v.Members, m)
-		c.observe(m, nil)
+		c.recordResult(m, nil)
 	}
 	return c, v
 }
 
-// TestAQuorumIsAskedFirst: those of the own failure domain first, and all of them as soon as anything is not as usual.
+// TestAQuorumIsAskedFirst checks that a healthy quorum is called first, local
+// stores before others, and all stores as soon as anything is abnormal.
 func TestAQuorumIsAskedFirst(t *testing.T) {
-	c, v := fiveStores(t)
-	members, n := c.quorumFirst(v, v.GetMembers())
+	c, v := newFiveStoreClient(t)
+	members, n := c.initialQuorum(v, v.GetMembers())
 	if n != 3 || len(members) != 5 || members[0].GetFailureDomain() != "c" {
-		t.Errorf("%d first, of %v", n, members)
+		t.Errorf("initial quorum is %d of %v, want 3 with the local store first", n, members)
 	}
 	moving := &fleetpb.View{Epoch: 2, Copies: 5, Members: v.GetMembers(), Prior: v.GetMembers()[:4]}
-	if _, n := c.quorumFirst(moving, v.GetMembers()); n != 5 {
-		t.Errorf("%d first while records move", n)
+	if _, n := c.initialQuorum(moving, v.GetMembers()); n != 5 {
+		t.Errorf("initial quorum is %d during a view change, want 5", n)
 	}
-	if _, n := c.quorumFirst(&fleetpb.View{}, nil); n != 0 {
-		t.Errorf("%d first of none", n)
+	if _, n := c.initialQuorum(&fleetpb.View{}, nil); n != 0 {
+		t.Errorf("initial quorum is %d of no stores, want 0", n)
 	}
-	c.observe(v.GetMembers()[1], errors.New("silent"))
-	if _, n := c.quorumFirst(v, v.GetMembers()); n != 5 {
-		t.Errorf("%d first while a store is out of reach", n)
+	c.recordResult(v.GetMembers()[1], errors.New("silent"))
+	if _, n := c.initialQuorum(v, v.GetMembers()); n != 5 {
+		t.Errorf("initial quorum is %d with a store unreachable, want 5", n)
 	}
 }
 
-// usual is how long a store of these tests takes.
-const usual = 4 * time.Millisecond
+// storeLatency is the latency of a healthy store in these tests.
+const storeLatency = 4 * time.Millisecond
 
-// script is what a store does with a call.
-type script struct {
-	after time.Duration
-	err   error
-	// refused goes with an answer that is no error.
+// behavior is how a simulated store handles a call.
+type behavior struct {
+	latency time.Duration
+	err     error
+	// refused is the status of a reply without an error.
 	refused fleetpb.StoreStatus_Refused
 }
 
-// gathered returns how long it takes until three of five stores have answered, and who was asked.
-func gathered(t *testing.T, scripts map[int]script) (took time.Duration, asked []string) {
+// measureQuorumCall returns how long a write to a quorum of three of five stores
+// takes, and which stores were called.
+func measureQuorumCall(t *testing.T, scripts map[int]behavior) (took time.Duration, asked []string) {
 	synctest.Test(t, func(t *testing.T) {
-		c, v := fiveStores(t)
-		tally := ledger.NewQuorumTracker(v, "p")
+		c, v := newFiveStoreClient(t)
+		tracker := ledger.NewQuorumTracker(v, "p")
 		begun := time.Now()
 		names := make(chan string, len(v.GetMembers()))
-		got, reason := gather(t.Context(), c, tally, v.GetMembers(), 3, tally.HasWriteQuorum, nil,
+		outcome, reason := callQuorum(t.Context(), c, tracker, v.GetMembers(), 3, tracker.HasWriteQuorum, nil,
 			func(ctx context.Context, _ fleetpb.StoreClient, m *fleetpb.Member) (*fleetpb.SettleReply, *fleetpb.StoreStatus, error) {
 				names <- m.GetInstance()
 				s, ok := scripts[int(m.GetStorage())-1]
 				if !ok {
-					s.after = usual
+					s.latency = storeLatency
 				}
-				<-time.After(s.after)
+				<-time.After(s.latency)
 				return nil, &fleetpb.StoreStatus{Epoch: 1, WholeEpoch: 1, Refused: s.refused}, s.err
 			},
 			func(*fleetpb.SettleReply) {})
 		took = time.Since(begun)
-		if got != reached {
-			t.Fatalf("%v: %s", got, reason)
+		if outcome != quorumReached {
+			t.Fatalf("%v: %s", outcome, reason)
 		}
-		// Calls outlive their quorum.
-		<-time.After(callWithin)
+		// Calls continue after the quorum was reached.
+		<-time.After(callTimeout)
 		for len(names) > 0 {
 			asked = append(asked, <-names)
 		}
@@ -99,25 +102,26 @@
 	return took, asked
 }
 
-// TestTheOthersAreAskedWhenOneIsSlowOrRefuses: and nobody more than the quorum while none is.
+// TestTheOthersAreAskedWhenOneIsSlowOrRefuses checks that the remaining stores are
+// called if one of the quorum is slow or fails, and only then.
 func TestTheOthersAreAskedWhenOneIsSlowOrRefuses(t *testing.T) {
 	tests := []struct {
 		name    string
-		scripts map[int]script
+		scripts map[int]behavior
 		took    time.Duration
 		asked   int
 	}{
-		{"as usual", nil, usual, 3},
-		{"one of the first is slow", map[int]script{1: {after: 100 * time.Millisecond}}, hedgeAfter + usual, 5},
-		{"one answers that it does not write", map[int]script{1: {refused: fleetpb.StoreStatus_REFUSED_DISK}}, usual, 5},
-		{"one fails at once", map[int]script{1: {err: errors.New("its disk is full")}}, usual, 5},
-		{"two are slow", map[int]script{0: {after: 100 * time.Millisecond}, 2: {after: 100 * time.Millisecond}}, hedgeAfter + usual, 5},
-		{"one of the others is slow", map[int]script{4: {after: 100 * time.Millisecond}}, usual, 3},
+		{"all healthy", nil, storeLatency, 3},
+		{"one of the first is slow", map[int]behavior{1: {latency: 100 * time.Millisecond}}, defaultHedgeDelay + storeLatency, 5},
+		{"one of the first refuses", map[int]behavior{1: {refused: fleetpb.StoreStatus_REFUSED_DISK}}, storeLatency, 5},
+		{"one of the first fails at once", map[int]behavior{1: {err: errors.New("its disk is full")}}, storeLatency, 5},
+		{"two of the first are slow", map[int]behavior{0: {latency: 100 * time.Millisecond}, 2: {latency: 100 * time.Millisecond}}, defaultHedgeDelay + storeLatency, 5},
+		{"one of the others is slow", map[int]behavior{4: {latency: 100 * time.Millisecond}}, storeLatency, 3},
 	}
 	for _, test := range tests {
-		took, asked := gathered(t, test.scripts)
+		took, asked := measureQuorumCall(t, test.scripts)
 		if took != test.took || len(asked) != test.asked {
-			t.Errorf("%s: %v with %v, want %v with %d", test.name, took, asked, test.took, test.asked)
+			t.Errorf("%s: took %v and called %v, want %v and %d stores", test.name, took, asked, test.took, test.asked)
 		}
 	}
 }
--- a/rockbarrow/stores/history.go
+++ b/rockbarrow/stores/history.go
@@ -12,41 +12,43 @@
 	"rockbarrow.dev/schema/fleetpb"
 )
 
-// seen is the turns that one request has met, and those kept from earlier ones.
-type seen struct {
+// turnIndex finds turns received during one request, and cached ones from earlier requests.
+type turnIndex struct {
 	cache *Cache
-	own   map[string]*fleetpb.Turn
+	local map[string]*fleetpb.Turn
 }
 
-func newSeen(c *Cache) *seen { return &seen{cache: c, own: map[string]*fleetpb.Turn{}} }
+func newTurnIndex(c *Cache) *turnIndex {
+	return &turnIndex{cache: c, local: map[string]*fleetpb.Turn{}}
+}
 
-func (s *seen) add(turns []*fleetpb.Turn) {
+func (s *turnIndex) add(turns []*fleetpb.Turn) {
 	for _, t := range turns {
-		s.own[t.GetId()] = t
+		s.local[t.GetId()] = t
 		s.cache.Add(t)
 	}
 }
 
-func (s *seen) find(id string) *fleetpb.Turn {
-	if t := s.own[id]; t != nil {
+func (s *turnIndex) get(id string) *fleetpb.Turn {
+	if t := s.local[id]; t != nil {
 		return t
 	}
 	return s.cache.Get(id)
 }
 
-// history returns the turns that a turn goes on from, oldest first.
-func (c *Client) history(ctx context.Context, t Turn, seen *seen) ([]*fleetpb.Turn, error) {
+// history returns the chain of turns that t continues, oldest first.
+func (c *Client) history(ctx context.Context, t Turn, seen *turnIndex) ([]*fleetpb.Turn, error) {
 	var out []*fleetpb.Turn
 	home := t.Program
 	for id := t.Previous; id != ""; {
-		turn := seen.find(id)
+		turn := seen.get(id)
 		if turn == nil {
-			if err := c.find(ctx, id, home, seen); err != nil {
-				return nil, c.gap(err, id, t.Previous)
+			if err := c.fetchTurn(ctx, id, home, seen); err != nil {
+				return nil, c.missingTurnError(err, id, t.Previous)
 			}
-			turn = seen.find(id)
+			turn = seen.get(id)
 		}
-		if id == t.Previous && !mayGoOn(turn, t.Customer) {
+		if id == t.Previous && !mayContinue(turn, t.Customer) {
 			return nil, &UnknownTurnError{Turn: id}
 		}
 		out = append(out, turn)
@@ -56,25 +58,27 @@
 	return out, nil
 }
 
-// mayGoOn reports whether a customer may go on from a turn: one of its own, or one from before keys were asked for,
-// which belongs to nobody. A turn's chain is its customer's, as each turn of it was looked at like this.
-func mayGoOn(turn *fleetpb.Turn, customer string) bool {
+// mayContinue reports whether a customer may continue from a turn: one of its
+// own, or one without a customer, stored before keys were required. Checking the
+// last turn suffices because each turn of a chain was checked in the same way.
+func mayContinue(turn *fleetpb.Turn, customer string) bool {
 	return turn.GetCustomer() == "" || turn.GetCustomer() == customer
 }
 
-// gap keeps a chain with a hole from being taken for a turn that never was.
-func (c *Client) gap(err error, id, previous string) error {
+// missingTurnError turns an unknown turn in the middle of a chain into an
+// UnavailableError: the turn existed, so its absence is not the client's error.
+func (c *Client) missingTurnError(err error, id, previous string) error {
 	var unknown *UnknownTurnError
 	if errors.As(err, &unknown) && id != previous {
-		return &UnavailableError{Reason: "turn " + id + " is missing in a chain"}
+		return &UnavailableError{Reason: "turn " + id + " is missing from the chain"}
 	}
 	return err
 }
 
-// find looks a turn up in the group of its likely home, then everywhere: a
-// program may go on from another one's turn.
-func (c *Client) find(ctx context.Context, id, home string, seen *seen) error {
-	err := c.lookup(ctx, id, seen, func(v *fleetpb.View) (*ledger.QuorumTracker, func() bool) {
+// fetchTurn looks a turn up in the group of the expected home program, then on
+// all stores: a program may continue a turn of another program.
+func (c *Client) fetchTurn(ctx context.Context, id, home string, seen *turnIndex) error {
+	err := c.lookupTurn(ctx, id, seen, func(v *fleetpb.View) (*ledger.QuorumTracker, func() bool) {
 		t := ledger.NewQuorumTracker(v, home)
 		return t, t.HasReadQuorum
 	})
@@ -82,20 +86,20 @@
 	if !errors.As(err, &unknown) {
 		return err
 	}
-	return c.lookup(ctx, id, seen, func(v *fleetpb.View) (*ledger.QuorumTracker, func() bool) {
+	return c.lookupTurn(ctx, id, seen, func(v *fleetpb.View) (*ledger.QuorumTracker, func() bool) {
 		t := ledger.NewAllStoresTracker(v)
 		return t, func() bool { return t.HasReadQuorumInAllGroups(int(v.GetCopies())) }
 	})
 }
 
-// lookup asks stores for a turn until one has it or enough certainly do not.
-func (c *Client) lookup(ctx context.Context, id string, seen *seen, tally func(*fleetpb.View) (*ledger.QuorumTracker, func() bool)) error {
+// lookupTurn queries stores for a turn until one has it or a read quorum does not.
+func (c *Client) lookupTurn(ctx context.Context, id string, seen *turnIndex, newTracker func(*fleetpb.View) (*ledger.QuorumTracker, func() bool)) error {
 	for {
 		view := c.Watch.State().GetView()
-		t, sure := tally(view)
+		tracker, absent := newTracker(view)
 		found := false
-		members := t.Members()
-		got, reason := gather(ctx, c, t, members, len(members), func() bool { return found || sure() }, nil,
+		members := tracker.Members()
+		outcome, reason := callQuorum(ctx, c, tracker, members, len(members), func() bool { return found || absent() }, nil,
 			func(ctx context.Context, s fleetpb.StoreClient, m *fleetpb.Member) (*fleetpb.LookupReply, *fleetpb.StoreStatus, error) {
 				r, err := s.Lookup(ctx, &fleetpb.LookupRequest{Epoch: view.GetEpoch(), Storage: m.GetStorage(), Turn: id})
 				return r, r.GetStatus(), err
@@ -104,13 +108,13 @@
 				seen.add(r.GetChain())
 				found = found || r.GetFound()
 			})
-		if got == reached && found {
+		if outcome == quorumReached && found {
 			return nil
 		}
-		if got == reached {
+		if outcome == quorumReached {
 			return &UnknownTurnError{Turn: id}
 		}
-		if got == expired || !again(ctx) {
+		if outcome == aborted || !waitRetry(ctx) {
 			return &UnavailableError{Reason: reason, Epoch: view.GetEpoch()}
 		}
 	}
--- a/rockbarrow/stores/quorum.go
+++ b/rockbarrow/stores/quorum.go
@@ -14,135 +14,139 @@
 )
 
 const (
-	// callWithin bounds one call to one store: a round trip between failure
-	// domains (3 ms), a sync (1 ms) and queueing under bursts.
-	callWithin = 800 * time.Millisecond
-	// retryPause lies between two tries with a quorum, under another view or when
-	// stores were still copying.
-	retryPause = 15 * time.Millisecond
-	// hedgeAfter is the default of [Client.HedgeDelay]: a call takes some 5 ms.
-	hedgeAfter = 10 * time.Millisecond
+	// callTimeout limits one call to one store: a round trip between failure
+	// domains, an fsync and queueing under load.
+	callTimeout = 800 * time.Millisecond
+	// retryDelay is the delay before a quorum call is retried, under a newer view
+	// or while stores are still copying.
+	retryDelay = 15 * time.Millisecond
+	// defaultHedgeDelay is the default of [Client.HedgeDelay], above the usual
+	// latency of a call.
+	defaultHedgeDelay = 10 * time.Millisecond
 )
 
-// answer is one store's reply.
-type answer[R any] struct {
+// response is the result of a call to one store.
+type response[R any] struct {
 	member *fleetpb.Member
 	reply  R
 	status *fleetpb.StoreStatus
 	err    error
 }
 
-// caller calls one store.
-type caller[R any] struct {
-	client *Client
-	member *fleetpb.Member
-	call   func(ctx context.Context, s fleetpb.StoreClient, m *fleetpb.Member) (R, *fleetpb.StoreStatus, error)
-	out    chan<- answer[R]
+// storeCall is a call to one store.
+type storeCall[R any] struct {
+	client  *Client
+	member  *fleetpb.Member
+	call    func(ctx context.Context, s fleetpb.StoreClient, m *fleetpb.Member) (R, *fleetpb.StoreStatus, error)
+	results chan<- response[R]
 }
 
-// run calls the store and goes on after a majority has answered without it, so
-// that it gets the record too.
-func (c *caller[R]) run(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), callWithin)
+// run calls the store. It continues after the quorum was reached without this
+// store, so that the store receives the record too.
+func (c *storeCall[R]) run(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), callTimeout)
 	defer cancel()
-	slow := &suspicion{client: c.client, member: c.member, asked: time.Now()}
-	timer := time.AfterFunc(suspectAfter, slow.run)
-	a := answer[R]{member: c.member}
+	timeout := &responseTimeout{client: c.client, member: c.member, started: time.Now()}
+	timer := time.AfterFunc(unresponsiveAfter, timeout.run)
+	a := response[R]{member: c.member}
 	conn, err := c.client.Pool.Get(c.member.GetAddress())
 	if err == nil {
 		a.reply, a.status, err = c.call(ctx, fleetpb.NewStoreClient(conn), c.member)
 	}
 	timer.Stop()
-	if err == nil || !wasStalled(slow.asked, callWithin) {
-		c.client.observe(c.member, err)
+	if err == nil || !processStalled(timeout.started, callTimeout) {
+		c.client.recordResult(c.member, err)
 	}
 	a.err = err
-	c.out <- a
+	c.results <- a
 }
 
-// outcome is how a try with a quorum ended.
-type outcome int
+// callOutcome is the result of one attempt to reach a quorum.
+type callOutcome int
 
 const (
-	// reached: enough stores answered.
-	reached outcome = iota
-	// short: too few did; another try may do better.
-	short
-	// expired: the time is over.
-	expired
+	// quorumReached means that enough stores answered.
+	quorumReached callOutcome = iota
+	// quorumFailed means that too few stores answered; a retry may succeed.
+	quorumFailed
+	// aborted means that the context ended or the quorum is unreachable; a retry is useless.
+	aborted
 )
 
-// asking is a question to the members of a tally.
-type asking[R any] struct {
+// quorumCall is a call to the members of a quorum tracker.
+type quorumCall[R any] struct {
 	client *Client
 	call   func(context.Context, fleetpb.StoreClient, *fleetpb.Member) (R, *fleetpb.StoreStatus, error)
-	// answers has room for those of all members.
-	answers chan answer[R]
-	// rest are the members that were not asked yet, asked counts the others.
-	rest  []*fleetpb.Member
-	asked int
+	// responses is buffered for all members, so that late calls never block.
+	responses chan response[R]
+	// unsent are the members that were not called yet, sent counts the others.
+	unsent []*fleetpb.Member
+	sent   int
 }
 
-// ask asks so many of the rest.
-func (a *asking[R]) ask(ctx context.Context, n int) {
-	for _, m := range a.rest[:n] {
-		go (&caller[R]{client: a.client, member: m, call: a.call, out: a.answers}).run(ctx)
+// send calls the next n members that were not called yet.
+func (a *quorumCall[R]) send(ctx context.Context, n int) {
+	for _, m := range a.unsent[:n] {
+		go (&storeCall[R]{client: a.client, member: m, call: a.call, results: a.responses}).run(ctx)
 	}
-	a.rest, a.asked = a.rest[n:], a.asked+n
+	a.unsent, a.sent = a.unsent[n:], a.sent+n
 }
 
-// gather calls the members of a tally until enough reports true: the first ones at once, and all others if one of
-// these refuses, a store goes out of reach or they take longer than usual. Each reply that counts goes to take first. It
-// gives up once unreachable reports true, which it asks when stores go out of reach; without it, it waits for all answers.
-func gather[R any](
-	ctx context.Context, c *Client, t *ledger.QuorumTracker, members []*fleetpb.Member, first int, enough, unreachable func() bool,
+// callQuorum calls the members of a tracker until done reports true. It calls the
+// first ones at once and the others if these do not suffice, if the reachability
+// of a store changes or after the hedge delay. onReply receives each reply that
+// counts, before done is checked. callQuorum aborts once unreachable reports
+// true, which is checked when the reachability of stores changes; a nil
+// unreachable never aborts.
+func callQuorum[R any](
+	ctx context.Context, c *Client, t *ledger.QuorumTracker, members []*fleetpb.Member, first int, done, unreachable func() bool,
 	call func(context.Context, fleetpb.StoreClient, *fleetpb.Member) (R, *fleetpb.StoreStatus, error),
-	take func(R),
-) (outcome, string) {
-	a := &asking[R]{client: c, call: call, answers: make(chan answer[R], len(members)), rest: members}
-	a.ask(ctx, first)
-	hedge := time.NewTimer(cmp.Or(c.HedgeDelay, hedgeAfter))
+	onReply func(R),
+) (callOutcome, string) {
+	a := &quorumCall[R]{client: c, call: call, responses: make(chan response[R], len(members)), unsent: members}
+	a.send(ctx, first)
+	hedge := time.NewTimer(cmp.Or(c.HedgeDelay, defaultHedgeDelay))
 	defer hedge.Stop()
 	reason := "no store answered"
-	for heard := 0; heard < len(members); {
-		change := c.health.change()
+	for received := 0; received < len(members); {
+		change := c.health.nextChange()
 		if unreachable != nil && unreachable() {
-			return expired, "most stores have gone out of reach"
+			return aborted, "a quorum of the stores is unreachable"
 		}
 		select {
 		case <-change:
-			a.ask(ctx, len(a.rest))
+			a.send(ctx, len(a.unsent))
 			continue
 		case <-hedge.C:
-			a.ask(ctx, len(a.rest))
+			a.send(ctx, len(a.unsent))
 			continue
-		case got := <-a.answers:
-			heard++
-			if why := refusedBy(got.status, got.err); why != "" {
+		case got := <-a.responses:
+			received++
+			if refusal := refusalReason(got.status, got.err); refusal != "" {
 				t.Refuse(got.member.GetStorage())
-				reason = got.member.GetInstance() + ": " + why
-				a.ask(ctx, len(a.rest))
+				reason = got.member.GetInstance() + ": " + refusal
+				a.send(ctx, len(a.unsent))
 				continue
 			}
 			t.Ack(got.member.GetStorage(), got.status.GetWholeEpoch())
-			take(got.reply)
-			if enough() {
-				return reached, ""
+			onReply(got.reply)
+			if done() {
+				return quorumReached, ""
 			}
 		case <-ctx.Done():
-			return expired, reason
+			return aborted, reason
 		}
 		if t.QuorumLost() {
-			return short, reason
+			return quorumFailed, reason
 		}
-		if heard == a.asked {
-			a.ask(ctx, len(a.rest))
+		if received == a.sent {
+			a.send(ctx, len(a.unsent))
 		}
 	}
-	return short, reason
+	return quorumFailed, reason
 }
 
-func refusedBy(s *fleetpb.StoreStatus, err error) string {
+func refusalReason(s *fleetpb.StoreStatus, err error) string {
 	if err != nil {
 		return err.Error()
 	}
@@ -152,5 +156,5 @@
 	return ""
 }
 
-// again waits before another try. It reports false once the time is over.
-func again(ctx context.Context) bool { return wait.For(ctx, retryPause) }
+// waitRetry waits before a retry. It reports false if ctx ended.
+func waitRetry(ctx context.Context) bool { return wait.For(ctx, retryDelay) }
--- a/rockbarrow/stores/quorum_test.go
+++ b/rockbarrow/stores/quorum_test.go
@@ -16,46 +16,46 @@
 	"rockbarrow.dev/schema/fleetpb"
 )
 
-// TestAReservationAsksAQuorumFirst: a store more is asked only where one of the quorum is gone, and what all were told by
-// the settlement holds on whichever stores are left.
+// TestAReservationAsksAQuorumFirst checks that a reservation calls further stores
+// only if one of the quorum fails, and that settlements reach all stores.
 func TestAReservationAsksAQuorumFirst(t *testing.T) {
-	g := newGroup(t)
+	g := newTestCluster(t)
 	g.client.HedgeDelay = time.Hour
-	asked := func(program string) (n int) {
-		for _, p := range g.places {
-			n += p.reserves.of(program)
+	reserveCalls := func(program string) (n int) {
+		for _, p := range g.stores {
+			n += p.reserveCalls.count(program)
 		}
 		return n
 	}
 	reserve := func(program string) {
-		g.must(g.run(g.client, stores.Turn{ID: program + "-1", Program: program, MaxTokens: 10, Budget: 100}, 10))
+		g.noError(g.runTurn(g.client, stores.Turn{ID: program + "-1", Program: program, MaxTokens: 10, Budget: 100}, 10))
 	}
 	reserve("p")
 	for !g.client.AllAnswered() {
-		pauseBriefly()
+		sleepBriefly()
 	}
 	const turns = 20
 	for i := range turns {
-		g.must(g.run(g.client, stores.Turn{ID: fmt.Sprint("q", i), Program: "q", MaxTokens: 1, Budget: 100}, 1))
+		g.noError(g.runTurn(g.client, stores.Turn{ID: fmt.Sprint("q", i), Program: "q", MaxTokens: 1, Budget: 100}, 1))
 	}
-	if n := asked("q"); n != 2*turns {
-		t.Errorf("%d questions for %d reservations of a quorum of two", n, turns)
+	if n := reserveCalls("q"); n != 2*turns {
+		t.Errorf("%d calls for %d reservations, want a quorum of two each", n, turns)
 	}
-	g.places[1].stop()
+	g.stores[1].stop()
 	grant, err := g.client.Reserve(t.Context(), stores.Turn{ID: "2", Program: "p", Previous: "p-1", MaxTokens: 10, Budget: 100})
-	g.must(err)
-	if want := "in p-1\nout p-1\n"; history(grant) != want {
-		t.Errorf("with a store gone: history %q, want %q", history(grant), want)
+	g.noError(err)
+	if want := "in p-1\nout p-1\n"; historyText(grant) != want {
+		t.Errorf("with one store stopped: history %q, want %q", historyText(grant), want)
 	}
 	var over *stores.OverBudgetError
 	if _, err := g.client.Reserve(t.Context(), stores.Turn{ID: "3", Program: "p", MaxTokens: 81, Budget: 100}); !errors.As(err, &over) {
-		t.Errorf("%v: what was settled before is forgotten", err)
+		t.Errorf("%v, want an OverBudgetError that counts the earlier settlement", err)
 	}
 }
 
-// TestBeforeStoresAreChosenNothingIsReserved: a view without members is an error to who reserves, and no fault.
+// TestBeforeStoresAreChosenNothingIsReserved guards against a panic when the view has no members yet.
 func TestBeforeStoresAreChosenNothingIsReserved(t *testing.T) {
-	w := &watch.Client{Self: &fleetpb.Member{Instance: "entry"}, Log: quiet()}
+	w := &watch.Client{Self: &fleetpb.Member{Instance: "entry"}, Log: discardLogger()}
 	w.Offer(&fleetpb.State{Number: 1, View: &fleetpb.View{Epoch: 1, Copies: 3}})
 	c := &stores.Client{Watch: w, Pool: &dial.Pool{}, TurnCache: &stores.Cache{MaxBytes: 1 << 10}}
 	ctx, cancel := context.WithCancel(t.Context())
@@ -67,35 +67,35 @@
 }
 
 func TestOneLostStoreCostsNothingTwoAreToldAsUnavailable(t *testing.T) {
-	g := newGroup(t)
-	g.must(g.run(g.client, stores.Turn{ID: "1", Program: "p", MaxTokens: 10}, 5))
-	g.places[0].stop()
-	g.must(g.run(g.newClient(), stores.Turn{ID: "2", Program: "p", Previous: "1", MaxTokens: 10}, 5))
+	g := newTestCluster(t)
+	g.noError(g.runTurn(g.client, stores.Turn{ID: "1", Program: "p", MaxTokens: 10}, 5))
+	g.stores[0].stop()
+	g.noError(g.runTurn(g.newClient(), stores.Turn{ID: "2", Program: "p", Previous: "1", MaxTokens: 10}, 5))
 	var unknown *stores.UnknownTurnError
-	if err := g.run(g.client, stores.Turn{ID: "x", Program: "p", Previous: "forged", MaxTokens: 10}, 5); !errors.As(err, &unknown) {
-		t.Errorf("%v, want an unknown turn", err)
+	if err := g.runTurn(g.client, stores.Turn{ID: "x", Program: "p", Previous: "forged", MaxTokens: 10}, 5); !errors.As(err, &unknown) {
+		t.Errorf("%v, want an UnknownTurnError", err)
 	}
-	g.places[1].stop()
+	g.stores[1].stop()
 	var unavailable *stores.UnavailableError
 	c := g.newClient()
-	if _, err := c.Reserve(shortly(t), stores.Turn{ID: "3", Program: "p", Previous: "2", MaxTokens: 10}); !errors.As(err, &unavailable) {
-		t.Errorf("%v, want unavailable stores, never an unknown turn", err)
+	if _, err := c.Reserve(shortContext(t), stores.Turn{ID: "3", Program: "p", Previous: "2", MaxTokens: 10}); !errors.As(err, &unavailable) {
+		t.Errorf("%v, want an UnavailableError", err)
 	}
 	if c.Reachable() {
-		t.Error("two of three stores are lost and a majority counts as reachable")
+		t.Error("Reachable is true with two of three stores stopped")
 	}
 	if !g.newClient().ProgramReachable("p") {
-		t.Error("a program whose stores were not called yet is refused")
+		t.Error("ProgramReachable is false for stores that were not called yet")
 	}
 }
 
-// TestAProcessThatStartsReachesStoresOnceTheyAnswer: behind a cut a new process must
-// not count stores as reached that it has never heard.
+// TestAProcessThatStartsReachesStoresOnceTheyAnswer guards against counting stores
+// as reachable that never answered: a new process may be inside a network partition.
 func TestAProcessThatStartsReachesStoresOnceTheyAnswer(t *testing.T) {
-	g := newGroup(t)
+	g := newTestCluster(t)
 	c := g.newClient()
 	if c.Reachable() {
-		t.Fatal("stores that never answered count as reached")
+		t.Fatal("Reachable is true although no store has answered")
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
@@ -104,21 +104,21 @@
 		if err := t.Context().Err(); err != nil {
 			t.Fatal(err)
 		}
-		pauseBriefly()
+		sleepBriefly()
 	}
 }
 
-// shortly returns a context for calls that can't succeed.
-func shortly(t *testing.T) context.Context {
+// shortContext returns a context with a short timeout, for calls that can't succeed.
+func shortContext(t *testing.T) context.Context {
 	ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 	t.Cleanup(cancel)
 	return ctx
 }
 
-// TestAnIdleInstanceNoticesThatItIsCutOff: it makes no calls of its own, and most
-// voters fall silent together with most stores.
+// TestAnIdleInstanceNoticesThatItIsCutOff checks that probes detect a partition
+// while the instance makes no calls of its own.
 func TestAnIdleInstanceNoticesThatItIsCutOff(t *testing.T) {
-	g := newGroup(t)
+	g := newTestCluster(t)
 	c := g.newClient()
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
@@ -127,42 +127,42 @@
 		t.Helper()
 		for c.Reachable() != reachable {
 			if err := ctx.Err(); err != nil {
-				t.Fatalf("reachable is not %v: %v", reachable, err)
+				t.Fatalf("Reachable did not become %v: %v", reachable, err)
 			}
-			pauseBriefly()
+			sleepBriefly()
 		}
 	}
 	until(true)
-	g.change(func(*fleetpb.View) {})
+	g.changeView(func(*fleetpb.View) {})
 	c.Watch.Offer(&fleetpb.State{Number: g.state.GetNumber() + 1, View: g.state.GetView(), Voters: []*fleetpb.Member{{Instance: "silent"}}})
-	g.places[0].stop()
-	g.places[1].stop()
+	g.stores[0].stop()
+	g.stores[1].stop()
 	until(false)
 }
 
-// TestAProcessThatStartsBeforeItsStoresWaitsForThem: after a loss of power of all
-// instances an entry may come up first; its turns wait for the stores.
+// TestAProcessThatStartsBeforeItsStoresWaitsForThem guards against rejecting turns
+// when an entry instance starts before its stores, as after a power failure.
 func TestAProcessThatStartsBeforeItsStoresWaitsForThem(t *testing.T) {
-	g := newGroup(t)
-	for _, p := range g.places {
+	g := newTestCluster(t)
+	for _, p := range g.stores {
 		p.stop()
 	}
 	c := g.newClient()
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	go c.Run(ctx)
-	// Its probes have failed by the time they have had their longest.
-	pause := time.NewTimer(2 * probesFail)
+	// Wait until the first probes have failed.
+	pause := time.NewTimer(2 * probeFailureTime)
 	<-pause.C
 	if !c.ProgramReachable("p") {
-		t.Fatal("turns are refused at once for stores that may be starting")
+		t.Fatal("ProgramReachable is false for stores that may be starting")
 	}
-	for _, p := range g.places {
+	for _, p := range g.stores {
 		p.start()
 	}
-	g.spread()
-	g.must(g.run(c, stores.Turn{ID: "1", Program: "p", MaxTokens: 10}, 5))
+	g.publishState()
+	g.noError(g.runTurn(c, stores.Turn{ID: "1", Program: "p", MaxTokens: 10}, 5))
 }
 
-// probesFail is more than a probe takes to fail at an address where nobody listens.
-const probesFail = 300 * time.Millisecond
+// probeFailureTime is longer than a probe takes to fail at an address without a listener.
+const probeFailureTime = 300 * time.Millisecond
--- a/rockbarrow/stores/sample.go
+++ b/rockbarrow/stores/sample.go
@@ -12,42 +12,44 @@
 	"rockbarrow.dev/schema/fleetpb"
 )
 
-// sampledPerDomain is how many stores of each failure domain an instance asks whether they are there before it has called
-// them: enough that one that restarts does not stand for its failure domain.
-const sampledPerDomain = 3
+// sampleSizePerDomain is how many stores of each failure domain an instance
+// probes before it has called them. With more than one, a single restarting
+// store does not make its failure domain appear unreachable.
+const sampleSizePerDomain = 3
 
-// samples holds the sample of the newest view. The zero value is ready.
-type samples struct{ last atomic.Pointer[sample] }
+// sampleCache holds the sample of the current view. The zero value is ready to use.
+type sampleCache struct{ last atomic.Pointer[sample] }
 
-// sample is some stores of each failure domain. It does not change.
+// sample is a set of stores from each failure domain of a view. It is immutable once cached.
 type sample struct {
 	view    *fleetpb.View
 	members []*fleetpb.Member
 }
 
-// of returns some stores of each failure domain of a view, other ones for each instance: so the questions after a start, and
-// the connections at rest, do not grow with the product of instances and stores.
-func (s *samples) of(v *fleetpb.View, self *fleetpb.Member) []*fleetpb.Member {
+// get returns a few stores of each failure domain of a view, chosen differently
+// by each instance. The number of startup probes and idle connections thus does
+// not grow with the product of instances and stores.
+func (s *sampleCache) get(v *fleetpb.View, self *fleetpb.Member) []*fleetpb.Member {
 	if known := s.last.Load(); known != nil && known.view == v {
 		return known.members
 	}
-	made := &sample{view: v}
+	fresh := &sample{view: v}
 	for _, list := range [][]*fleetpb.Member{v.GetMembers(), v.GetPrior()} {
-		made.add(list, self)
+		fresh.addPerDomain(list, self)
 	}
-	s.last.Store(made)
-	return made.members
+	s.last.Store(fresh)
+	return fresh.members
 }
 
-// add adds the first stores of each failure domain, in an order of the instance's own.
-func (s *sample) add(list []*fleetpb.Member, self *fleetpb.Member) {
+// addPerDomain adds the first stores of each failure domain in an order that depends on the calling instance.
+func (s *sample) addPerDomain(list []*fleetpb.Member, self *fleetpb.Member) {
 	rank := func(m *fleetpb.Member) uint64 {
 		return xxhash.Sum64String(self.GetInstance() + "\x00" + m.GetInstance())
 	}
 	ordered := slices.SortedFunc(slices.Values(list), func(a, b *fleetpb.Member) int { return cmp.Compare(rank(a), rank(b)) })
 	taken := map[string]int{}
 	for _, m := range ordered {
-		if taken[m.GetFailureDomain()] < sampledPerDomain && !slices.Contains(s.members, m) {
+		if taken[m.GetFailureDomain()] < sampleSizePerDomain && !slices.Contains(s.members, m) {
 			taken[m.GetFailureDomain()]++
 			s.members = append(s.members, m)
 		}
--- a/rockbarrow/stores/sample_test.go
+++ b/rockbarrow/stores/sample_test.go
@@ -13,8 +13,8 @@
 	"rockbarrow.dev/schema/fleetpb"
 )
 
-// client is one that knows a view of n stores in five failure domains.
-func client(name string, n int) (*Client, *fleetpb.View) {
+// newSampleClient returns a client with a view of n stores in five failure domains.
+func newSampleClient(name string, n int) (*Client, *fleetpb.View) {
 	v := &fleetpb.View{Epoch: 1, Copies: 5}
 	for i := range n {
 		v.Members = append(v.Members, &fleetpb.Member{
@@ -28,63 +28,64 @@
 	return &Client{Watch: w}, v
 }
 
-// TestAStartAsksAFewStores: each entry instance asked all stores whether they were there, and kept a connection to each.
+// TestAStartAsksAFewStores guards against each entry instance probing, and staying connected to, all stores.
 func TestAStartAsksAFewStores(t *testing.T) {
-	asked := map[string]int{}
+	sampled := map[string]int{}
 	for _, n := range []int{60, 120} {
 		for i := range 40 {
-			c, v := client(fmt.Sprint("entry-", i), n)
-			sample := c.samples.of(v, c.Watch.Self)
-			if len(sample) != 5*sampledPerDomain {
-				t.Fatalf("%d of %d stores are asked", len(sample), n)
+			c, v := newSampleClient(fmt.Sprint("entry-", i), n)
+			sample := c.sampleCache.get(v, c.Watch.Self)
+			if len(sample) != 5*sampleSizePerDomain {
+				t.Fatalf("the sample has %d of %d stores, want %d", len(sample), n, 5*sampleSizePerDomain)
 			}
 			for _, m := range sample {
-				asked[m.GetInstance()]++
+				sampled[m.GetInstance()]++
 			}
 		}
 	}
-	if len(asked) < 100 {
-		t.Errorf("only %d stores are ever asked", len(asked))
+	if len(sampled) < 100 {
+		t.Errorf("all samples together have only %d stores, want at least 100", len(sampled))
 	}
-	c, v := client("entry", 9)
-	if n := len(c.samples.of(v, c.Watch.Self)); n != 9 {
-		t.Errorf("%d of nine stores are asked", n)
+	c, v := newSampleClient("entry", 9)
+	if n := len(c.sampleCache.get(v, c.Watch.Self)); n != 9 {
+		t.Errorf("the sample has %d of nine stores, want all", n)
 	}
 }
 
-// TestAFewStoresTellTheReach of all: of failure domains where some answer, and of those where none does.
+// TestAFewStoresTellTheReach checks that the reachability of a failure domain is
+// derived from its sampled stores.
 func TestAFewStoresTellTheReach(t *testing.T) {
-	c, v := client("entry", 100)
+	c, v := newSampleClient("entry", 100)
 	if c.Reachable() {
-		t.Error("nobody has answered")
+		t.Error("Reachable is true although no store has answered")
 	}
 	answer := func(domains ...string) {
-		for _, m := range c.samples.of(v, c.Watch.Self) {
+		for _, m := range c.sampleCache.get(v, c.Watch.Self) {
 			for _, d := range domains {
 				if m.GetFailureDomain() == d {
-					c.health.set(m.GetStorage(), false)
+					c.health.setUnreachable(m.GetStorage(), false)
 				}
 			}
 		}
 	}
 	answer("domain-0", "domain-1")
 	if c.Reachable() {
-		t.Error("two of five failure domains answer")
+		t.Error("Reachable is true with two of five failure domains")
 	}
 	answer("domain-2", "domain-3", "domain-4")
 	if !c.Reachable() || len(c.UnreachableDomains()) != 0 {
-		t.Error("all that were asked answer")
+		t.Error("failure domains count as unreachable although all sampled stores answer")
 	}
-	// One store of a domain is no sign of a cut; all that are known are.
-	for i, m := range c.samples.of(v, c.Watch.Self) {
+	// A failure domain counts as unreachable only if all its known stores are.
+	for i, m := range c.sampleCache.get(v, c.Watch.Self) {
 		if m.GetFailureDomain() == "domain-3" {
-			c.health.set(m.GetStorage(), true)
+			c.health.setUnreachable(m.GetStorage(), true)
 			if i == 0 && len(c.UnreachableDomains()) != 0 {
-				t.Errorf("%v are out", c.UnreachableDomains())
+				t.Errorf("unreachable domains %v after one store failed, want none", c.UnreachableDomains())
 			}
 		}
 	}
 	if got := c.UnreachableDomains(); len(got) != 1 || got[0] != "domain-3" || !c.Reachable() {
-		t.Errorf("%v are out, and others can be written: %v", got, c.Reachable())
+		t.Errorf("unreachable domains %v, reachable %v, want [domain-3] and true", got, c.Reachable())
 	}
 }
--- a/rockbarrow/stores/turns_test.go
+++ b/rockbarrow/stores/turns_test.go
@@ -16,28 +16,29 @@
 )
 
 func TestHistoryIsTheSameForEveryEntry(t *testing.T) {
-	g := newGroup(t)
-	g.must(g.run(g.client, stores.Turn{ID: "1", Program: "p", MaxTokens: 10}, 5))
-	g.must(g.run(g.newClient(), stores.Turn{ID: "2", Program: "p", Previous: "1", MaxTokens: 10}, 5))
-	// Another program goes on from the turn of the first.
-	g.must(g.run(g.newClient(), stores.Turn{ID: "3", Program: "q", Previous: "2", MaxTokens: 10}, 5))
+	g := newTestCluster(t)
+	g.noError(g.runTurn(g.client, stores.Turn{ID: "1", Program: "p", MaxTokens: 10}, 5))
+	g.noError(g.runTurn(g.newClient(), stores.Turn{ID: "2", Program: "p", Previous: "1", MaxTokens: 10}, 5))
+	// Another program continues from a turn of the first.
+	g.noError(g.runTurn(g.newClient(), stores.Turn{ID: "3", Program: "q", Previous: "2", MaxTokens: 10}, 5))
 	grant, err := g.newClient().Reserve(context.Background(), stores.Turn{ID: "4", Program: "r", Previous: "3", MaxTokens: 10})
-	g.must(err)
+	g.noError(err)
 	want := "in 1\nout 1\nin 2\nout 2\nin 3\nout 3\n"
-	if got := history(grant); got != want || grant.Home() != "p" {
+	if got := historyText(grant); got != want || grant.Home() != "p" {
 		t.Errorf("history %q at home %s, want %q at p", got, grant.Home(), want)
 	}
 }
 
-// TestATurnOfAnotherCustomerIsUnknown: also where it is held in the cache of an entry instance. A turn of before keys were
-// asked for is anyone's who knows its id.
+// TestATurnOfAnotherCustomerIsUnknown checks that a customer can't continue from
+// another customer's turn, also if it is cached. A turn without a customer can be
+// continued by anyone who knows its id.
 func TestATurnOfAnotherCustomerIsUnknown(t *testing.T) {
-	g := newGroup(t)
+	g := newTestCluster(t)
 	one, other := g.newClient(), g.newClient()
 	keep := func(id, customer string) {
 		grant, err := one.Reserve(t.Context(), stores.Turn{ID: id, Program: "p", Customer: customer, MaxTokens: 1, Retention: time.Minute})
-		g.must(err)
-		g.must(one.Settle(t.Context(), grant, 1, &fleetpb.Turn{Id: id, Home: grant.Home(), Input: []byte("in"), Customer: customer, RetainMs: 60_000}))
+		g.noError(err)
+		g.noError(one.Settle(t.Context(), grant, 1, &fleetpb.Turn{Id: id, Home: grant.Home(), Input: []byte("in"), Customer: customer, RetainMs: 60_000}))
 	}
 	keep("of-a", "a")
 	keep("of-nobody", "")
@@ -49,31 +50,31 @@
 			_, err := c.Reserve(t.Context(), stores.Turn{ID: test.previous + "/" + test.customer, Program: "p", Customer: test.customer, Previous: test.previous, MaxTokens: 1, Retention: time.Minute})
 			var unknown *stores.UnknownTurnError
 			if errors.As(err, &unknown) == test.known {
-				t.Errorf("customer %q goes on from %s: %v", test.customer, test.previous, err)
+				t.Errorf("customer %q continues from %s: %v", test.customer, test.previous, err)
 			}
 		}
 	}
 }
 
 func TestBudgetHoldsOverEntries(t *testing.T) {
-	g := newGroup(t)
+	g := newTestCluster(t)
 	turn := func(id string) stores.Turn { return stores.Turn{ID: id, Program: "p", MaxTokens: 100, Budget: 250} }
-	g.must(g.run(g.client, turn("1"), 100))
-	g.must(g.run(g.newClient(), turn("2"), 40))
-	// 140 are spent; one more of at most 100 fits, two at once do not.
+	g.noError(g.runTurn(g.client, turn("1"), 100))
+	g.noError(g.runTurn(g.newClient(), turn("2"), 40))
+	// 140 tokens are spent; one more turn of up to 100 fits, two do not.
 	held, err := g.newClient().Reserve(context.Background(), turn("3"))
-	g.must(err)
+	g.noError(err)
 	var over *stores.OverBudgetError
 	if _, err := g.newClient().Reserve(context.Background(), turn("4")); !errors.As(err, &over) || over.Used != 240 {
 		t.Fatalf("%v, want 240 tokens used", err)
 	}
-	// What is given back can be used: the refused try left nothing behind.
-	g.must(g.client.Settle(context.Background(), held, 10, nil))
-	g.must(g.run(g.newClient(), turn("5"), 100))
+	// The rejected attempts were released, so another turn fits.
+	g.noError(g.client.Settle(context.Background(), held, 10, nil))
+	g.noError(g.runTurn(g.newClient(), turn("5"), 100))
 }
 
 func TestConcurrentTurnsNeverExceedTheBudget(t *testing.T) {
-	g := newGroup(t)
+	g := newTestCluster(t)
 	var running sync.WaitGroup
 	var mu sync.Mutex
 	granted := 0
