--- a/rockbarrow/store/copier.go
+++ b/rockbarrow/store/copier.go
@@ -16,30 +16,29 @@
 )
 
 const (
-	// copyWithin bounds one attempt to copy; a failed one starts again. What a
-	// store of today holds (some 10 MB) takes a few hundred milliseconds.
-	copyWithin = 3 * time.Second
-	// copyPause lies between attempts.
-	copyPause = 200 * time.Millisecond
-	// batchBytes is the size of one message of a copy.
-	batchBytes = 128 << 10
+	// copyTimeout limits one attempt to copy the records of a view.
+	copyTimeout = 3 * time.Second
+	// copyRetryInterval is the interval between attempts.
+	copyRetryInterval = 200 * time.Millisecond
+	// copyBatchBytes is the size at which a message of a copy is sent.
+	copyBatchBytes = 128 << 10
 )
 
-// copier brings this store's records up to each new view.
+// copier copies the records that this store needs under each new view.
 type copier struct {
 	store *Store
-	// copied are the stores whose records are here, for the view of epoch: a try that
-	// fails at one store does not ask the others again.
-	copied map[uint64]bool
-	epoch  uint64
+	// copiedFrom holds the stores whose records were copied for the view epoch, so
+	// that a retry calls only the others.
+	copiedFrom map[uint64]bool
+	epoch      uint64
 }
 
 func (c *copier) loop(ctx context.Context) {
-	retry := time.NewTicker(copyPause)
+	retry := time.NewTicker(copyRetryInterval)
 	defer retry.Stop()
 	for {
 		select {
-		case <-c.store.changed:
+		case <-c.store.viewChanged:
 		case <-retry.C:
 		case <-ctx.Done():
 			return
@@ -48,111 +47,112 @@
 	}
 }
 
-// catchUp makes the store whole for a view, if it is a member.
+// catchUp completes the store's records for a view if the store is a member of it.
 func (c *copier) catchUp(ctx context.Context, v *fleetpb.View) {
 	s := c.store
-	if v == nil || s.whole.Load() >= v.GetEpoch() || !register.ContainsStorage(v.GetMembers(), s.Self.GetStorage()) {
+	if v == nil || s.completeEpoch.Load() >= v.GetEpoch() || !register.ContainsStorage(v.GetMembers(), s.Self.GetStorage()) {
 		return
 	}
 	start := time.Now()
-	err := c.bring(ctx, v)
+	err := c.complete(ctx, v)
 	if err != nil {
-		s.Log.WithError(err).WithField("view", v.GetEpoch()).Warn("records are not all here yet")
+		s.Log.WithError(err).WithField("view", v.GetEpoch()).Warn("copying the records of the view failed, retrying")
 		return
 	}
 	s.Log.WithFields(logrus.Fields{"view": v.GetEpoch(), "copy_ms": time.Since(start).Milliseconds()}).
-		Info("all records of the own groups are here")
+		Info("all records of the view are copied")
 }
 
-// bring raises the fence, copies what is missing and remembers that it is here.
-func (c *copier) bring(ctx context.Context, v *fleetpb.View) error {
-	ctx, cancel := context.WithTimeout(ctx, copyWithin)
+// complete fences older views, copies the missing records and durably records
+// that the store is complete for the view.
+func (c *copier) complete(ctx context.Context, v *fleetpb.View) error {
+	ctx, cancel := context.WithTimeout(ctx, copyTimeout)
 	defer cancel()
 	s := c.store
-	if err := s.raise(ctx, v.GetEpoch()); err != nil {
+	if err := s.fence(ctx, v.GetEpoch()); err != nil {
 		return err
 	}
-	if !c.hasAll(v) {
+	if !c.nothingToCopy(v) {
 		if err := c.copyAll(ctx, v); err != nil {
 			return err
 		}
 	}
-	s.whole.Store(v.GetEpoch())
+	s.completeEpoch.Store(v.GetEpoch())
 	return s.append(ctx, []*fleetpb.Record{{Kind: &fleetpb.Record_WholeEpoch{WholeEpoch: v.GetEpoch()}}})
 }
 
-// hasAll reports whether there is nothing to copy: the first view has no records
-// before it, and a store that copied during a move has all when the move ends.
-func (c *copier) hasAll(v *fleetpb.View) bool {
-	return v.GetEpoch() == 1 || c.follows(v) && len(v.GetPrior()) == 0
+// nothingToCopy reports whether the store has all records already: the first view
+// has no earlier records, and when a view change ends its members have copied them.
+func (c *copier) nothingToCopy(v *fleetpb.View) bool {
+	return v.GetEpoch() == 1 || c.isNextView(v) && len(v.GetPrior()) == 0
 }
 
-// follows reports whether the view comes right after one that was whole here. A
-// move that was missed may have brought groups that the store never copied.
-func (c *copier) follows(v *fleetpb.View) bool {
-	whole := c.store.whole.Load()
-	return whole > 0 && whole+1 == v.GetEpoch()
+// isNextView reports whether the store was complete for the view right before v.
+// If the store missed a view change, it may lack groups that it was assigned then.
+func (c *copier) isNextView(v *fleetpb.View) bool {
+	completeEpoch := c.store.completeEpoch.Load()
+	return completeEpoch > 0 && completeEpoch+1 == v.GetEpoch()
 }
 
-// copyAll copies from members that count until they cover all groups; a few may be
-// missing.
+// copyAll copies from the source members until their records include a read
+// quorum of every group; a few sources may be missing.
 func (c *copier) copyAll(ctx context.Context, v *fleetpb.View) error {
 	s := c.store
-	all := !c.follows(v)
+	all := !c.isNextView(v)
 	if c.epoch != v.GetEpoch() {
-		c.epoch, c.copied = v.GetEpoch(), map[uint64]bool{}
+		c.epoch, c.copiedFrom = v.GetEpoch(), map[uint64]bool{}
 	}
-	covered := func() bool {
+	sufficient := func() bool {
 		return ledger.SourcesSufficient(v, func(storage uint64) bool {
-			// What this store missed itself it has only from others.
-			return c.copied[storage] || storage == s.Self.GetStorage() && !all
+			// This store counts as a source only if it has not missed a view.
+			return c.copiedFrom[storage] || storage == s.Self.GetStorage() && !all
 		})
 	}
-	from := c.left(ledger.CopySources(v, s.Self.GetStorage()))
-	results := make(chan transferred, len(from))
-	for _, m := range from {
+	sources := c.remaining(ledger.CopySources(v, s.Self.GetStorage()))
+	results := make(chan transferResult, len(sources))
+	for _, m := range sources {
 		go (&transfer{store: s, from: m, results: results}).run(ctx, &fleetpb.CopyRequest{
 			Epoch: v.GetEpoch(), Storage: m.GetStorage(), View: v, Requester: s.Self, All: all,
 		})
 	}
-	failed := errors.New("store: nobody to copy from")
-	for range from {
-		if covered() {
+	lastErr := errors.New("store: no store to copy from")
+	for range sources {
+		if sufficient() {
 			return nil
 		}
 		r := <-results
 		if r.err != nil {
-			failed = r.err
+			lastErr = r.err
 			continue
 		}
-		c.copied[r.storage] = true
+		c.copiedFrom[r.storage] = true
 	}
-	if covered() {
+	if sufficient() {
 		return nil
 	}
-	return errors.Wrapf(failed, "store: %d copies came and do not cover all groups", len(c.copied))
+	return errors.Wrapf(lastErr, "store: copies from %d stores do not cover all groups", len(c.copiedFrom))
 }
 
-// left returns the members whose records are not here yet.
-func (c *copier) left(from []*fleetpb.Member) []*fleetpb.Member {
-	return slices.DeleteFunc(from, func(m *fleetpb.Member) bool { return c.copied[m.GetStorage()] })
+// remaining returns the members whose records were not copied yet.
+func (c *copier) remaining(from []*fleetpb.Member) []*fleetpb.Member {
+	return slices.DeleteFunc(from, func(m *fleetpb.Member) bool { return c.copiedFrom[m.GetStorage()] })
 }
 
-// transfer copies from one member.
+// transfer is a copy of the records of one member.
 type transfer struct {
 	store   *Store
 	from    *fleetpb.Member
-	results chan<- transferred
+	results chan<- transferResult
 }
 
-// transferred is how the copy from a storage ended.
-type transferred struct {
+// transferResult is the result of the copy from a storage.
+type transferResult struct {
 	storage uint64
 	err     error
 }
 
 func (t *transfer) run(ctx context.Context, req *fleetpb.CopyRequest) {
-	t.results <- transferred{storage: t.from.GetStorage(), err: t.copy(ctx, req)}
+	t.results <- transferResult{storage: t.from.GetStorage(), err: t.copy(ctx, req)}
 }
 
 func (t *transfer) copy(ctx context.Context, req *fleetpb.CopyRequest) error {
@@ -169,10 +169,10 @@
 		if err != nil {
 			return errors.Wrapf(err, "store: copy from %s", t.from.GetInstance())
 		}
-		if why := reply.GetStatus().GetRefused(); why != fleetpb.StoreStatus_REFUSED_NONE {
-			return errors.Errorf("store: %s refused to copy: %v", t.from.GetInstance(), why)
+		if refusal := reply.GetStatus().GetRefused(); refusal != fleetpb.StoreStatus_REFUSED_NONE {
+			return errors.Errorf("store: %s refused to copy: %v", t.from.GetInstance(), refusal)
 		}
-		if err := t.store.take(ctx, reply.GetRecords()); err != nil {
+		if err := t.store.applyCopied(ctx, reply.GetRecords()); err != nil {
 			return err
 		}
 		if reply.GetLast() {
@@ -181,22 +181,22 @@
 	}
 }
 
-// take writes copied records that are new here and waits for the last.
-func (s *Store) take(ctx context.Context, records []*fleetpb.Record) error {
+// applyCopied applies copied records and returns once the new ones are synced.
+func (s *Store) applyCopied(ctx context.Context, records []*fleetpb.Record) error {
 	now := time.Now()
-	var fresh []*fleetpb.Record
+	var added []*fleetpb.Record
 	s.mu.Lock()
 	for _, r := range records {
-		if s.book.Apply(now, r) {
-			fresh = append(fresh, r)
+		if s.state.Apply(now, r) {
+			added = append(added, r)
 		}
 	}
 	s.mu.Unlock()
-	return s.append(ctx, fresh)
+	return s.append(ctx, added)
 }
 
-// Copy streams the records that a member of a new view needs. The fence comes
-// first, so that nothing is written here under the old view afterwards.
+// Copy streams the records that a member of a new view needs. Admitting the call
+// fences the old view first, so that no record is written under it afterwards.
 func (s *Store) Copy(req *fleetpb.CopyRequest, stream fleetpb.Store_CopyServer) error {
 	ctx := stream.Context()
 	st, err := s.admit(ctx, req.GetEpoch(), req.GetStorage())
@@ -206,25 +206,25 @@
 	if st != nil {
 		return stream.Send(&fleetpb.CopyReply{Status: st, Last: true})
 	}
-	// Records of a store that is not whole itself prove nothing to others, unless
-	// it was whole under the view before this one.
-	if !s.wasWhole(req.GetView()) {
+	// An incomplete store must not serve as a source: the requester would take a
+	// record that is missing here for one that was never written.
+	if !s.canServeCopies(req.GetView()) {
 		return stream.Send(&fleetpb.CopyReply{Status: s.refusal(fleetpb.StoreStatus_REFUSED_STALE_VIEW), Last: true})
 	}
 	var batch []*fleetpb.Record
 	bytes := 0
-	for _, name := range s.programs() {
+	for _, name := range s.programNames() {
 		if !ledger.MustCopy(req.GetView(), req.GetRequester().GetStorage(), name, req.GetAll()) {
 			continue
 		}
 		s.mu.Lock()
-		records := s.book.Records(name)
+		records := s.state.Records(name)
 		s.mu.Unlock()
 		for _, r := range records {
 			batch = append(batch, r)
 			bytes += len(r.GetTurn().GetInput()) + len(r.GetTurn().GetOutput()) + 64
 		}
-		if bytes < batchBytes {
+		if bytes < copyBatchBytes {
 			continue
 		}
 		if err := stream.Send(&fleetpb.CopyReply{Status: s.status(), Records: batch}); err != nil {
@@ -235,6 +235,6 @@
 	return stream.Send(&fleetpb.CopyReply{Status: s.status(), Records: batch, Last: true})
 }
 
-// wasWhole reports whether this store held all its records under the view before
-// this one, or holds them under the view itself.
-func (s *Store) wasWhole(v *fleetpb.View) bool { return s.whole.Load()+1 >= v.GetEpoch() }
+// canServeCopies reports whether this store is complete for a view or for the
+// view right before it.
+func (s *Store) canServeCopies(v *fleetpb.View) bool { return s.completeEpoch.Load()+1 >= v.GetEpoch() }
--- a/rockbarrow/store/copier_test.go
+++ b/rockbarrow/store/copier_test.go
@@ -17,14 +17,14 @@
 	"rockbarrow.dev/schema/fleetpb"
 )
 
-// source is a store that others copy from.
-type source struct {
+// sourceStore is a store that others copy from.
+type sourceStore struct {
 	fleetpb.UnimplementedStoreServer
 	down   atomic.Bool
 	copies atomic.Int64
 }
 
-func (s *source) Copy(_ *fleetpb.CopyRequest, stream fleetpb.Store_CopyServer) error {
+func (s *sourceStore) Copy(_ *fleetpb.CopyRequest, stream fleetpb.Store_CopyServer) error {
 	s.copies.Add(1)
 	if s.down.Load() {
 		return status.Error(codes.Unavailable, "down")
@@ -32,9 +32,8 @@
 	return stream.Send(&fleetpb.CopyReply{Status: &fleetpb.StoreStatus{}, Last: true})
 }
 
-// TestATryCopiesOnlyWhatIsMissing: some stores are out of reach when a view changes. Each
-// try asks only those whose records are not here yet, and the copy is whole once every
-// group is covered.
+// TestATryCopiesOnlyWhatIsMissing checks that a retry copies only from the stores
+// that failed before, and that the copy succeeds once every group is covered.
 func TestATryCopiesOnlyWhatIsMissing(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -47,10 +46,10 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(stop)
-	sources := make([]*source, 5)
+	sources := make([]*sourceStore, 5)
 	v := &fleetpb.View{Epoch: 2, Copies: 5, Members: []*fleetpb.Member{self}}
 	for i := range sources {
-		sources[i] = &source{}
+		sources[i] = &sourceStore{}
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
@@ -62,7 +61,7 @@
 		v.Prior = append(v.Prior, &fleetpb.Member{
 			Instance: fmt.Sprint("store-", i), Storage: uint64(i + 1), FailureDomain: fmt.Sprint(i), Address: l.Addr().String(),
 		})
-		// Connected, so that a first call is not refused for want of a connection.
+		// Connect now, so that the first call does not fail for lack of a connection.
 		if _, err := pool.Get(l.Addr().String()); err != nil {
 			t.Fatal(err)
 		}
@@ -72,16 +71,16 @@
 	}
 	c := &copier{store: s}
 	if err := c.copyAll(t.Context(), v); err == nil {
-		t.Fatal("two of five stores cover all groups")
+		t.Fatal("copyAll succeeded with two of five sources")
 	}
 	sources[2].down.Store(false)
 	for c.copyAll(t.Context(), v) != nil {
-		// A connection may not have been there in time.
+		// Retry: a connection may not have been ready yet.
 		continue
 	}
 	for i, o := range sources[:2] {
 		if n := o.copies.Load(); n != 1 {
-			t.Errorf("store %d was asked %d times for the same records", i, n)
+			t.Errorf("store %d was copied from %d times, want once", i, n)
 		}
 	}
 }
--- a/rockbarrow/store/doc.go
+++ b/rockbarrow/store/doc.go
@@ -1,10 +1,11 @@
 // SPDX-License-Identifier: MIT
 
-// Package store is the job of a store instance: it keeps turns and budgets.
+// Package store implements store instances, which keep turns and reservations.
 //
-// A [Store] answers a call once its record is on the disk, and tells with each
-// answer whether it holds all records of its groups. It refuses calls under an
-// older view than the newest it has heard of, which is what lets records be
-// copied to new members while turns go on: whatever was written under the old
-// view is in the copies, and nothing more is written under it.
+// A [Store] answers a call once its record is synced to disk, and reports with
+// each answer the newest view for which it holds all records of its groups. It
+// rejects calls under views older than the newest one it knows. That fencing
+// allows records to be copied to new members while turns continue: everything
+// written under the old view is in the copies, and nothing is written under it
+// afterwards.
 package store
--- a/rockbarrow/store/store.go
+++ b/rockbarrow/store/store.go
@@ -19,10 +19,10 @@
 	"rockbarrow.dev/schema/fleetpb"
 )
 
-// expireEvery is how often records are looked at whose time is over.
-const expireEvery = 5 * time.Second
+// expiryInterval is the interval between removals of expired records.
+const expiryInterval = 5 * time.Second
 
-// Store is one store instance. Set the exported fields before Open.
+// Store is a store instance. The exported fields must be set before Open.
 type Store struct {
 	fleetpb.UnimplementedStoreServer
 
@@ -35,31 +35,31 @@
 
 	log *durable.Log
 
-	mu   sync.Mutex
-	book ledger.StateMachine
-	// epoch is the newest view heard of; calls under older ones are refused. It
-	// never goes back, also over a restart.
+	mu    sync.Mutex
+	state ledger.StateMachine
+	// epoch is the newest known view; calls under older views are refused. It
+	// is durable and never decreases.
 	epoch uint64
 
-	// whole is the newest view for which all records are held here, or zero. It
-	// lasts over a restart, as what was acknowledged is on the disk.
-	whole atomic.Uint64
-	// changed wakes the copier.
-	changed chan struct{}
+	// completeEpoch is the newest view for which this store holds all records of
+	// its groups, or zero. It is durable, as acknowledged records are.
+	completeEpoch atomic.Uint64
+	// viewChanged wakes the copier.
+	viewChanged chan struct{}
 }
 
-// HasRecords reports whether a data folder holds records.
+// HasRecords reports whether a data directory holds records.
 func HasRecords(dir string) (bool, error) { return durable.HasLog(dir) }
 
-// Open replays the disk. The returned function closes it.
+// Open replays the records on disk. The returned function closes the log.
 func (s *Store) Open() (func(), error) {
-	s.changed = make(chan struct{}, 1)
+	s.viewChanged = make(chan struct{}, 1)
 	now := time.Now()
 	log, stop, err := durable.OpenLog(s.DataDir, func(b []byte) error { return s.replay(now, b) })
 	if err != nil {
 		return nil, err
 	}
-	log.Live = s.live
+	log.Live = s.liveRecords
 	log.Failed = func(err error) {
 		s.Log.WithError(err).WithField("refused_bytes", log.Refused()).Error("records were not written")
 	}
@@ -67,34 +67,34 @@
 		s.Log.WithFields(logrus.Fields{"before_bytes": c.Before(), "after_bytes": c.After()}).Info("the log was compacted")
 	}
 	s.log = log
-	programs, turns, bytes := s.book.Size()
+	programs, turns, bytes := s.state.Size()
 	s.Log.WithFields(logrus.Fields{"programs": programs, "turns": turns, "bytes": bytes, "view": s.epoch}).
-		Info("records were read from the disk")
+		Info("records were replayed from disk")
 	return stop, nil
 }
 
 func (s *Store) replay(now time.Time, b []byte) error {
 	r := &fleetpb.Record{}
 	if err := proto.Unmarshal(b, r); err != nil {
-		s.Log.WithError(err).Error("a record on the disk can't be read")
+		s.Log.WithError(err).Error("a record on disk can't be decoded")
 		return &durable.DamagedError{Dir: s.DataDir, What: "a record"}
 	}
 	switch k := r.GetKind().(type) {
 	case *fleetpb.Record_Epoch:
 		s.epoch = max(s.epoch, k.Epoch)
 	case *fleetpb.Record_WholeEpoch:
-		s.whole.Store(max(s.whole.Load(), k.WholeEpoch))
+		s.completeEpoch.Store(max(s.completeEpoch.Load(), k.WholeEpoch))
 	default:
-		s.book.Apply(now, r)
+		s.state.Apply(now, r)
 	}
 	return nil
 }
 
-// live hands over all records that still count.
-func (s *Store) live(yield func([]byte)) {
-	for _, name := range s.programs() {
+// liveRecords yields the encoded records that a compacted log has to keep.
+func (s *Store) liveRecords(yield func([]byte)) {
+	for _, name := range s.programNames() {
 		s.mu.Lock()
-		records := s.book.Records(name)
+		records := s.state.Records(name)
 		s.mu.Unlock()
 		for _, r := range records {
 			yield(s.encode(r))
@@ -104,19 +104,19 @@
 	epoch := s.epoch
 	s.mu.Unlock()
 	yield(s.encode(&fleetpb.Record{Kind: &fleetpb.Record_Epoch{Epoch: epoch}}))
-	yield(s.encode(&fleetpb.Record{Kind: &fleetpb.Record_WholeEpoch{WholeEpoch: s.whole.Load()}}))
+	yield(s.encode(&fleetpb.Record{Kind: &fleetpb.Record_WholeEpoch{WholeEpoch: s.completeEpoch.Load()}}))
 }
 
-func (s *Store) programs() []string {
+func (s *Store) programNames() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var out []string
-	s.book.Programs(func(name string) { out = append(out, name) })
+	s.state.Programs(func(name string) { out = append(out, name) })
 	return out
 }
 
-// encode never fails for records made here: their texts are valid UTF-8, as the
-// wire has checked them.
+// encode marshals a record. It does not fail in practice: strings were checked
+// to be valid UTF-8 when they were received.
 func (s *Store) encode(r *fleetpb.Record) []byte {
 	b, err := proto.Marshal(r)
 	if err != nil {
@@ -125,11 +125,11 @@
 	return b
 }
 
-// Run copies records when the view changes and forgets old ones, until ctx ends.
+// Run copies records when the view changes and removes expired ones until ctx ends.
 func (s *Store) Run(ctx context.Context) {
 	c := &copier{store: s}
 	go c.loop(ctx)
-	t := time.NewTicker(expireEvery)
+	t := time.NewTicker(expiryInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -143,8 +143,8 @@
 
 func (s *Store) expire() {
 	s.mu.Lock()
-	s.book.Expire(time.Now())
-	programs, turns, bytes := s.book.Size()
+	s.state.Expire(time.Now())
+	programs, turns, bytes := s.state.Size()
 	s.mu.Unlock()
 	s.Metrics.Gauge("programs").Update(float64(programs))
 	s.Metrics.Gauge("turns").Update(float64(turns))
@@ -153,19 +153,21 @@
 	s.Metrics.Gauge("disk_bytes_refused").Update(float64(s.log.Refused()))
 }
 
-// Wake looks at the view; package watch calls it when the state changes.
+// Wake makes the store check for a new view. Package watch calls it when the
+// state changes.
 func (s *Store) Wake() {
 	select {
-	case s.changed <- struct{}{}:
+	case s.viewChanged <- struct{}{}:
 	default:
 	}
 }
 
-// CompleteEpoch returns the newest view for which this store holds all its records.
-func (s *Store) CompleteEpoch() uint64 { return s.whole.Load() }
+// CompleteEpoch returns the newest view for which this store holds all records of
+// its groups, or zero.
+func (s *Store) CompleteEpoch() uint64 { return s.completeEpoch.Load() }
 
-// admit checks a call's view and storage, and raises the fence if the caller
-// knows a newer view. It returns nil if the call may go on.
+// admit checks a call's storage and view, and fences older views if the caller
+// knows a newer one. It returns nil if the call may proceed.
 func (s *Store) admit(ctx context.Context, epoch, storage uint64) (*fleetpb.StoreStatus, error) {
 	if storage != s.Self.GetStorage() {
 		return s.refusal(fleetpb.StoreStatus_REFUSED_OTHER_STORAGE), nil
@@ -179,14 +181,14 @@
 	case epoch == known:
 		return nil, nil
 	}
-	if err := s.raise(ctx, epoch); err != nil {
+	if err := s.fence(ctx, epoch); err != nil {
 		return s.refusal(fleetpb.StoreStatus_REFUSED_DISK), nil
 	}
 	return nil, nil
 }
 
-// raise refuses all older views from now on, also after a restart.
-func (s *Store) raise(ctx context.Context, epoch uint64) error {
+// fence durably refuses calls under views older than epoch.
+func (s *Store) fence(ctx context.Context, epoch uint64) error {
 	s.mu.Lock()
 	old := s.epoch
 	s.epoch = max(s.epoch, epoch)
@@ -194,7 +196,7 @@
 	if epoch <= old {
 		return nil
 	}
-	s.Log.WithFields(logrus.Fields{"view": epoch, "before": old}).Info("older views are refused")
+	s.Log.WithFields(logrus.Fields{"view": epoch, "before": old}).Info("a newer view fences older ones")
 	return s.log.Append(ctx, s.encode(&fleetpb.Record{Kind: &fleetpb.Record_Epoch{Epoch: epoch}}))
 }
 
@@ -208,20 +210,20 @@
 	s.mu.Lock()
 	epoch := s.epoch
 	s.mu.Unlock()
-	return &fleetpb.StoreStatus{Epoch: epoch, WholeEpoch: s.whole.Load()}
+	return &fleetpb.StoreStatus{Epoch: epoch, WholeEpoch: s.completeEpoch.Load()}
 }
 
-// write applies records, syncs them and checks that the view is still the one
-// that the call came under.
+// write applies and syncs records. It refuses if the view has changed meanwhile,
+// as the records may then be missing from copies.
 func (s *Store) write(ctx context.Context, epoch uint64, records ...*fleetpb.Record) *fleetpb.StoreStatus {
 	now := time.Now()
 	s.mu.Lock()
 	for _, r := range records {
-		s.book.Apply(now, r)
+		s.state.Apply(now, r)
 	}
 	s.mu.Unlock()
 	if err := s.append(ctx, records); err != nil {
-		s.Log.WithError(err).Debug("a record is not on the disk")
+		s.Log.WithError(err).Debug("a record was not written to disk")
 		return s.refusal(fleetpb.StoreStatus_REFUSED_DISK)
 	}
 	st := s.status()
