--- a/rockbarrow/ledger/bench_test.go
+++ b/rockbarrow/ledger/bench_test.go
@@ -9,7 +9,7 @@
 	"rockbarrow.dev/schema/fleetpb"
 )
 
-// BenchmarkGroup is a request's choice of its stores, of nine in three failure domains.
+// BenchmarkGroup selects the group of a program among nine stores in three failure domains.
 func BenchmarkGroup(b *testing.B) {
 	var members []*fleetpb.Member
 	for i := range 9 {
--- a/rockbarrow/ledger/copying.go
+++ b/rockbarrow/ledger/copying.go
@@ -4,10 +4,10 @@
 
 import "rockbarrow.dev/schema/fleetpb"
 
-// MustCopy reports whether a member of a changing view has to copy a program's
-// records: it is in the program's new group, and was not in the old one or the
-// group has become smaller, so that fewer copies must hold what more held. With
-// all it needs everything of its groups.
+// MustCopy reports whether a member must copy a program's records during a view
+// change. It must if it is in the program's new group and was not in the old one.
+// If the group has shrunk, all its members copy, since a smaller quorum must then
+// find every record. If all is true, a member copies all records of its groups.
 func MustCopy(v *fleetpb.View, storage uint64, program string, all bool) bool {
 	present := Group(v.GetMembers(), program, int(v.GetCopies()))
 	if !hasStorage(present, storage) {
@@ -20,10 +20,10 @@
 	return !hasStorage(prior, storage) || len(present) < len(prior)
 }
 
-// CopySources returns the members to copy from.
+// CopySources returns the members from which the store with the given storage copies.
 func CopySources(v *fleetpb.View, storage uint64) []*fleetpb.Member {
 	var from []*fleetpb.Member
-	for _, m := range counting(v) {
+	for _, m := range authoritativeMembers(v) {
 		if m.GetStorage() != storage {
 			from = append(from, m)
 		}
@@ -31,9 +31,9 @@
 	return from
 }
 
-// counting returns the stores whose records count: the members before a move under way,
-// or else the members.
-func counting(v *fleetpb.View) []*fleetpb.Member {
+// authoritativeMembers returns the stores that hold all durable records: the
+// prior members during a view change, the members otherwise.
+func authoritativeMembers(v *fleetpb.View) []*fleetpb.Member {
 	if len(v.GetPrior()) > 0 {
 		return v.GetPrior()
 	}
--- a/rockbarrow/ledger/coverage.go
+++ b/rockbarrow/ledger/coverage.go
@@ -4,39 +4,39 @@
 
 import "rockbarrow.dev/schema/fleetpb"
 
-// ReadQuorumInAllGroups reports whether every group, whichever program's records it keeps, has a read
-// quorum among the stores that are heard. Groups are spread over failure domains, so
-// that a lost domain takes few stores of each group, however many it has.
-func ReadQuorumInAllGroups(members []*fleetpb.Member, copies int, heard func(storage uint64) bool) bool {
+// ReadQuorumInAllGroups reports whether every possible group has a read quorum
+// among the stores that responded. Groups are spread over failure domains, so a
+// lost domain removes only a few stores of each group, however many it has.
+func ReadQuorumInAllGroups(members []*fleetpb.Member, copies int, responded func(storage uint64) bool) bool {
 	size := min(copies, len(members))
-	return size > 0 && mostSilent(members, copies, heard) <= MaxReadFailures(size)
+	return size > 0 && maxSilentPerGroup(members, copies, responded) <= MaxReadFailures(size)
 }
 
-// mostSilent is the most stores of one group that can be silent.
-func mostSilent(members []*fleetpb.Member, copies int, heard func(storage uint64) bool) int {
+// maxSilentPerGroup returns an upper bound on the stores of any group that did not respond.
+func maxSilentPerGroup(members []*fleetpb.Member, copies int, responded func(storage uint64) bool) int {
 	stores, silent := map[string]int{}, map[string]int{}
 	for _, m := range members {
 		stores[m.GetFailureDomain()]++
-		if !heard(m.GetStorage()) {
+		if !responded(m.GetStorage()) {
 			silent[m.GetFailureDomain()]++
 		}
 	}
-	each := perDomain(members, copies)
-	room, spread, all := 0, 0, 0
+	domainLimit := maxPerDomain(members, copies)
+	capacity, cappedSilent, totalSilent := 0, 0, 0
 	for d, n := range stores {
-		room += min(n, each)
-		spread += min(silent[d], each)
-		all += silent[d]
+		capacity += min(n, domainLimit)
+		cappedSilent += min(silent[d], domainLimit)
+		totalSilent += silent[d]
 	}
-	if len(members) <= copies || room < copies {
-		// Some group takes more than its share of a domain.
-		return all
+	if len(members) <= copies || capacity < copies {
+		// The limit per domain does not hold for every group.
+		return totalSilent
 	}
-	return spread
+	return cappedSilent
 }
 
-// SourcesSufficient reports whether the stores that are heard hold all records from before a
-// view's move, or all records if none is under way.
-func SourcesSufficient(v *fleetpb.View, heard func(storage uint64) bool) bool {
-	return ReadQuorumInAllGroups(counting(v), int(v.GetCopies()), heard)
+// SourcesSufficient reports whether the stores that responded together hold all
+// durable records from before the view.
+func SourcesSufficient(v *fleetpb.View, responded func(storage uint64) bool) bool {
+	return ReadQuorumInAllGroups(authoritativeMembers(v), int(v.GetCopies()), responded)
 }
--- a/rockbarrow/ledger/coverage_test.go
+++ b/rockbarrow/ledger/coverage_test.go
@@ -8,10 +8,10 @@
 	"testing"
 )
 
-// TestALostDomainLeavesAllGroupsCovered: twelve stores in five failure domains, three of
-// them in the one that is cut off. Each group has one store there.
+// TestALostDomainLeavesAllGroupsCovered checks that groups keep their read quorum
+// after the loss of two of five failure domains, though not of three.
 func TestALostDomainLeavesAllGroupsCovered(t *testing.T) {
-	members := stores("a", "a", "a", "b", "b", "b", "c", "c", "d", "d", "e", "e")
+	members := newMembers("a", "a", "a", "b", "b", "b", "c", "c", "d", "d", "e", "e")
 	without := func(domains ...string) bool {
 		return ReadQuorumInAllGroups(members, 5, func(storage uint64) bool {
 			for _, d := range domains {
@@ -23,15 +23,15 @@
 		})
 	}
 	if !without("b") || !without("a", "b") {
-		t.Error("two lost failure domains leave each group three of five, and are not covered")
+		t.Error("no read quorum with two lost failure domains, which leave each group three of five stores")
 	}
 	if without("a", "b", "c") {
-		t.Error("three lost failure domains leave each group two of five")
+		t.Error("read quorum with three lost failure domains, which leave each group two of five stores")
 	}
 }
 
-// TestCoveredGroupsHaveTheirReadQuorum draws deployments and losses: whatever is covered,
-// no program's group may lack its read quorum.
+// TestCoveredGroupsHaveTheirReadQuorum compares ReadQuorumInAllGroups with the
+// groups of programs, for random deployments and losses.
 func TestCoveredGroupsHaveTheirReadQuorum(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
 	covered := 0
@@ -41,7 +41,7 @@
 		for i := range names {
 			names[i] = fmt.Sprint(r.IntN(domains))
 		}
-		members := stores(names...)
+		members := newMembers(names...)
 		copies := 1 + 2*r.IntN(4)
 		silent := map[uint64]bool{}
 		for range r.IntN(len(members) + 1) {
@@ -53,12 +53,12 @@
 		covered++
 		for p := range 20 {
 			g := Group(members, fmt.Sprint("program-", p), copies)
-			if heard := len(g) - count(g, silent); heard < ReadQuorum(len(g)) {
-				t.Fatalf("stores in %v, %d copies, silent %v: group %v has %d heard", names, copies, silent, g, heard)
+			if responded := len(g) - count(g, silent); responded < ReadQuorum(len(g)) {
+				t.Fatalf("stores in %v, %d copies, silent %v: group %v has only %d responding stores", names, copies, silent, g, responded)
 			}
 		}
 	}
 	if covered < 300 {
-		t.Errorf("only %d of the draws were covered", covered)
+		t.Errorf("only %d of the random deployments had read quorums, want at least 300", covered)
 	}
 }
--- a/rockbarrow/ledger/group.go
+++ b/rockbarrow/ledger/group.go
@@ -11,20 +11,19 @@
 	"rockbarrow.dev/schema/fleetpb"
 )
 
-// Group returns the stores that keep a program's records: the first copies in
-// rendezvous order, spread over failure domains as evenly as these allow. A
-// store that comes back with an empty disk keeps its place, since the order goes
-// by its name.
+// Group returns the stores that keep a program's records, selected by rendezvous
+// hashing and spread evenly over failure domains. The hash uses the instance
+// name, so a store that returns with an empty disk keeps its groups.
 func Group(members []*fleetpb.Member, program string, copies int) []*fleetpb.Member {
 	if len(members) <= copies {
 		return members
 	}
-	each := perDomain(members, copies)
+	domainLimit := maxPerDomain(members, copies)
 	taken := map[string]int{}
 	var out, rest []*fleetpb.Member
-	for _, r := range rank(members, program) {
+	for _, r := range rankMembers(members, program) {
 		m := r.member
-		if len(out) < copies && taken[m.GetFailureDomain()] < each {
+		if len(out) < copies && taken[m.GetFailureDomain()] < domainLimit {
 			taken[m.GetFailureDomain()]++
 			out = append(out, m)
 			continue
@@ -34,19 +33,19 @@
 	return append(out, rest[:copies-len(out)]...)
 }
 
-// ranked is a member with its weight for a program.
-type ranked struct {
+// weightedMember is a member with its rendezvous weight for a program.
+type weightedMember struct {
 	member *fleetpb.Member
 	weight uint64
 }
 
-// rank orders members by the hash of their name and the program.
-func rank(members []*fleetpb.Member, program string) []ranked {
-	out := make([]ranked, len(members))
+// rankMembers returns the members in descending order of their weights for a program.
+func rankMembers(members []*fleetpb.Member, program string) []weightedMember {
+	out := make([]weightedMember, len(members))
 	for i, m := range members {
-		out[i] = ranked{member: m, weight: weight(m, program)}
+		out[i] = weightedMember{member: m, weight: weight(m, program)}
 	}
-	slices.SortFunc(out, func(a, b ranked) int {
+	slices.SortFunc(out, func(a, b weightedMember) int {
 		if c := cmp.Compare(b.weight, a.weight); c != 0 {
 			return c
 		}
@@ -56,16 +55,16 @@
 }
 
 func weight(m *fleetpb.Member, program string) uint64 {
-	// usual is more than most names have, so that no memory is taken.
-	const usual = 128
-	var buf [usual]byte
+	// typicalSize exceeds most names, so that the buffer stays on the stack.
+	const typicalSize = 128
+	var buf [typicalSize]byte
 	b := append(buf[:0], m.GetInstance()...)
 	b = append(b, 0)
 	return xxhash.Sum64(append(b, program...))
 }
 
-// perDomain is how many copies a failure domain holds at most.
-func perDomain(members []*fleetpb.Member, copies int) int {
+// maxPerDomain returns the maximum number of copies in one failure domain.
+func maxPerDomain(members []*fleetpb.Member, copies int) int {
 	domains := map[string]bool{}
 	for _, m := range members {
 		domains[m.GetFailureDomain()] = true
@@ -73,17 +72,16 @@
 	return (copies + len(domains) - 1) / len(domains)
 }
 
-// WriteQuorum returns how many of n stores make a record durable.
+// WriteQuorum returns how many of n stores must sync a record to make it durable.
 func WriteQuorum(n int) int { return n/2 + 1 }
 
-// ReadQuorum returns how many of n stores meet every write quorum. Of two stores
-// one is enough, as both hold every record: a deployment of two goes on from the
-// copy that is left.
+// ReadQuorum returns how many of n stores intersect every write quorum. One of two
+// stores is enough, as both hold every record; a deployment of two can thus
+// continue with the remaining store.
 func ReadQuorum(n int) int { return n - WriteQuorum(n) + 1 }
 
-// MaxReadFailures returns how many of n stores may stay silent when the others are read.
+// MaxReadFailures returns how many of n stores may fail without losing the read quorum.
 func MaxReadFailures(n int) int { return max(0, n-ReadQuorum(n)) }
 
-// MaxWriteFailures returns how many of n stores may be out of reach while records are
-// written.
+// MaxWriteFailures returns how many of n stores may fail without losing the write quorum.
 func MaxWriteFailures(n int) int { return max(0, n-WriteQuorum(n)) }
--- a/rockbarrow/ledger/ledger_test.go
+++ b/rockbarrow/ledger/ledger_test.go
@@ -11,7 +11,7 @@
 	"rockbarrow.dev/schema/fleetpb"
 )
 
-func stores(domains ...string) []*fleetpb.Member {
+func newMembers(domains ...string) []*fleetpb.Member {
 	var out []*fleetpb.Member
 	for i, d := range domains {
 		out = append(out, &fleetpb.Member{Instance: fmt.Sprint("store-", i), Storage: uint64(i + 1), FailureDomain: d})
@@ -20,7 +20,7 @@
 }
 
 func TestGroupsSpreadOverDomains(t *testing.T) {
-	members := stores("a", "a", "a", "b", "b", "b", "c", "c")
+	members := newMembers("a", "a", "a", "b", "b", "b", "c", "c")
 	for i := range 200 {
 		count := map[string]int{}
 		g := Group(members, fmt.Sprint("program-", i), 5)
@@ -28,48 +28,48 @@
 			count[m.GetFailureDomain()]++
 		}
 		if len(g) != 5 || count["a"] > 2 || count["b"] > 2 || count["c"] > 2 {
-			t.Fatalf("group %d holds %v", i, count)
+			t.Fatalf("group %d has %d stores, by failure domain %v, want 5 with at most 2 each", i, len(g), count)
 		}
 	}
 }
 
 func TestAReplacedStoreKeepsItsGroups(t *testing.T) {
-	members := stores("a", "b", "c", "d", "e")
-	again := stores("a", "b", "c", "d", "e")
+	members := newMembers("a", "b", "c", "d", "e")
+	again := newMembers("a", "b", "c", "d", "e")
 	again[2].Storage = 99
 	for i := range 100 {
 		p := fmt.Sprint("program-", i)
 		a, b := Group(members, p, 3), Group(again, p, 3)
 		for j := range a {
 			if a[j].GetInstance() != b[j].GetInstance() {
-				t.Fatalf("the group of %s changed", p)
+				t.Fatalf("the group of %s changed with the storage id of a member", p)
 			}
 		}
 	}
 }
 
 func TestAMoveNeedsBothGroups(t *testing.T) {
-	all := stores("a", "b", "c", "d")
+	all := newMembers("a", "b", "c", "d")
 	v := &fleetpb.View{Epoch: 2, Members: all[1:], Prior: all[:3], Copies: 3}
-	tally := NewQuorumTracker(v, "p")
-	tally.Ack(1, 1)
-	tally.Ack(2, 1)
-	if tally.HasWriteQuorum() {
-		t.Error("a record is durable without the new group")
-	}
-	if !tally.HasReadQuorum() {
-		t.Error("the old group has answered and is not believed")
-	}
-	tally.Ack(4, 0)
-	if !tally.HasWriteQuorum() {
-		t.Error("a record with both majorities is not durable")
-	}
-	// A new store that has copied nothing yet proves nothing.
-	tally = NewQuorumTracker(&fleetpb.View{Epoch: 3, Members: all[1:], Copies: 3}, "p")
-	tally.Ack(4, 0)
-	tally.Ack(3, 2)
-	if tally.HasReadQuorum() {
-		t.Error("a store that has not copied its groups is believed")
+	tracker := NewQuorumTracker(v, "p")
+	tracker.Ack(1, 1)
+	tracker.Ack(2, 1)
+	if tracker.HasWriteQuorum() {
+		t.Error("write quorum without the new group")
+	}
+	if !tracker.HasReadQuorum() {
+		t.Error("no read quorum although the old group answered")
+	}
+	tracker.Ack(4, 0)
+	if !tracker.HasWriteQuorum() {
+		t.Error("no write quorum with majorities of both groups")
+	}
+	// A store that has not copied its records must not count toward the read quorum.
+	tracker = NewQuorumTracker(&fleetpb.View{Epoch: 3, Members: all[1:], Copies: 3}, "p")
+	tracker.Ack(4, 0)
+	tracker.Ack(3, 2)
+	if tracker.HasReadQuorum() {
+		t.Error("read quorum with a store that has not copied its records")
 	}
 }
 
@@ -86,7 +86,8 @@
 	}
 }
 
-// TestOneOfTwoReservationsSeesTheOther tries all pairs of quorums.
+// TestOneOfTwoReservationsSeesTheOther checks two concurrent reservations with all
+// pairs of quorums.
 func TestOneOfTwoReservationsSeesTheOther(t *testing.T) {
 	quorums := [][]int{{0, 1}, {0, 2}, {1, 2}}
 	for _, qa := range quorums {
@@ -94,7 +95,7 @@
 			for order := range 2 {
 				books := make([]StateMachine, 3)
 				write := func(turn string, at int) []*fleetpb.Reservation {
-					books[at].Apply(time.Time{}, reservation("p", turn, 100))
+					books[at].Apply(time.Time{}, reservationRecord("p", turn, 100))
 					return books[at].Reservations("p")
 				}
 				var a, b ReservationSet
@@ -113,13 +114,13 @@
 	}
 }
 
-func reservation(program, turn string, tokens uint64) *fleetpb.Record {
+func reservationRecord(program, turn string, tokens uint64) *fleetpb.Record {
 	return &fleetpb.Record{Kind: &fleetpb.Record_Reservation{Reservation: &fleetpb.ProgramReservation{
 		Program: program, RetainMs: 1000, Reservation: &fleetpb.Reservation{Turn: turn, Tokens: tokens},
 	}}}
 }
 
-func turn(id, previous, home string) *fleetpb.Record {
+func turnRecord(id, previous, home string) *fleetpb.Record {
 	return &fleetpb.Record{Kind: &fleetpb.Record_Turn{Turn: &fleetpb.Turn{
 		Id: id, Previous: previous, Home: home, Input: []byte("in " + id), Output: []byte("out\n"), RetainMs: 1000,
 	}}}
@@ -128,43 +129,43 @@
 func TestChainsAreKeptWhileTheyAreUsed(t *testing.T) {
 	start := time.Unix(0, 0)
 	var b StateMachine
-	b.Apply(start, turn("1", "", "p"))
-	b.Apply(start, turn("2", "1", "p"))
-	b.Apply(start, turn("other", "", "q"))
-	late := start.Add(graceFactor*time.Second + slack - 1)
+	b.Apply(start, turnRecord("1", "", "p"))
+	b.Apply(start, turnRecord("2", "1", "p"))
+	b.Apply(start, turnRecord("other", "", "q"))
+	late := start.Add(retentionFactor*time.Second + retentionMargin - 1)
 	if chain := b.Chain(late, "2"); len(chain) != 2 || chain[1].GetId() != "1" {
-		t.Fatalf("chain %v", chain)
+		t.Fatalf("chain %v, want turns 2 and 1", chain)
 	}
-	b.Expire(start.Add(graceFactor*time.Second + slack))
+	b.Expire(start.Add(retentionFactor*time.Second + retentionMargin))
 	if !b.Has("1") || b.Has("other") {
-		t.Error("the used chain is gone or the unused one is not")
+		t.Error("the used chain was expired or the unused one was not")
 	}
-	b.Expire(late.Add(graceFactor*time.Second + slack))
+	b.Expire(late.Add(retentionFactor*time.Second + retentionMargin))
 	if programs, turns, bytes := b.Size(); programs != 0 || turns != 0 || bytes != 0 {
-		t.Errorf("%d programs, %d turns and %d bytes are left", programs, turns, bytes)
+		t.Errorf("%d programs, %d turns and %d bytes after expiry, want none", programs, turns, bytes)
 	}
 }
 
-// TestADurableRecordIsInEveryCopy tries every write quorum against every set of
-// sources that a copy may come from: they share a store.
+// TestADurableRecordIsInEveryCopy checks that every write quorum shares a store
+// with every sufficient set of sources.
 func TestADurableRecordIsInEveryCopy(t *testing.T) {
 	for n := 2; n <= 7; n++ {
-		prior := stores("a", "b", "c", "d", "e", "f", "g")[:n]
+		prior := newMembers("a", "b", "c", "d", "e", "f", "g")[:n]
 		v := &fleetpb.View{Epoch: 2, Members: prior, Prior: prior, Copies: uint32(n)}
 		if from := CopySources(v, 99); len(from) != n {
-			t.Fatalf("%d sources of %d stores", len(from), n)
+			t.Fatalf("%d sources, want %d", len(from), n)
 		}
 		for written := range 1 << n {
 			if bits.OnesCount(uint(written)) != WriteQuorum(n) {
 				continue
 			}
-			for heard := range 1 << n {
-				covers := SourcesSufficient(v, func(storage uint64) bool { return heard&(1<<(storage-1)) != 0 })
-				if covers && written&heard == 0 {
-					t.Fatalf("of %d stores, %b wrote and %b were copied from", n, written, heard)
+			for responded := range 1 << n {
+				covers := SourcesSufficient(v, func(storage uint64) bool { return responded&(1<<(storage-1)) != 0 })
+				if covers && written&responded == 0 {
+					t.Fatalf("of %d stores, write quorum %b and sufficient sources %b do not intersect", n, written, responded)
 				}
-				if !covers && bits.OnesCount(uint(heard)) >= ReadQuorum(n) {
-					t.Fatalf("of %d stores, %b were heard and are not enough", n, heard)
+				if !covers && bits.OnesCount(uint(responded)) >= ReadQuorum(n) {
+					t.Fatalf("of %d stores, sources %b are a read quorum and not sufficient", n, responded)
 				}
 			}
 		}
@@ -172,28 +173,28 @@
 }
 
 func TestWhoCopies(t *testing.T) {
-	all := stores("a", "b", "c")
-	v := &fleetpb.View{Epoch: 2, Members: append(stores("a", "b"), &fleetpb.Member{Instance: "store-2", Storage: 9}), Prior: all, Copies: 3}
+	all := newMembers("a", "b", "c")
+	v := &fleetpb.View{Epoch: 2, Members: append(newMembers("a", "b"), &fleetpb.Member{Instance: "store-2", Storage: 9}), Prior: all, Copies: 3}
 	if !MustCopy(v, 9, "p", true) || MustCopy(v, 1, "p", false) {
-		t.Error("the wrong stores copy")
+		t.Error("MustCopy is wrong for a new or a remaining store")
 	}
 	for _, m := range CopySources(v, 99) {
 		if !hasStorage(all, m.GetStorage()) {
-			t.Errorf("store %d counts while records are copied to it", m.GetStorage())
+			t.Errorf("store %d is a source and was no prior member", m.GetStorage())
 		}
 	}
 	if len(CopySources(v, 9)) != 3 || len(CopySources(v, 1)) != 2 {
-		t.Error("the wrong stores count while records are copied")
+		t.Error("CopySources does not exclude exactly the copying store")
 	}
 }
 
 func TestReadAndWriteQuorumsMeet(t *testing.T) {
 	for n := 1; n <= 9; n++ {
 		if WriteQuorum(n)+ReadQuorum(n) <= n || 2*WriteQuorum(n) <= n {
-			t.Errorf("of %d stores, %d and %d need not meet", n, WriteQuorum(n), ReadQuorum(n))
+			t.Errorf("of %d stores, quorums of %d and %d need not intersect", n, WriteQuorum(n), ReadQuorum(n))
 		}
 	}
 	if MaxReadFailures(2) != 1 || MaxWriteFailures(2) != 0 || MaxReadFailures(0) != 0 || MaxWriteFailures(0) != 0 {
-		t.Error("of two stores, either holds all and both must write")
+		t.Error("two stores must tolerate one read failure and no write failure, no stores none")
 	}
 }
--- a/rockbarrow/ledger/reservations.go
+++ b/rockbarrow/ledger/reservations.go
@@ -4,22 +4,22 @@
 
 import "rockbarrow.dev/schema/fleetpb"
 
-// ReservationSet joins the reservations that several stores told.
+// ReservationSet merges the reservations returned by several stores.
 type ReservationSet struct {
 	byTurn map[string]*fleetpb.Reservation
 }
 
-// Merge joins one store's reservations.
+// Merge adds the reservations of one store.
 func (t *ReservationSet) Merge(list []*fleetpb.Reservation) {
 	if t.byTurn == nil {
 		t.byTurn = map[string]*fleetpb.Reservation{}
 	}
 	for _, r := range list {
-		t.byTurn[r.GetTurn()] = join(t.byTurn[r.GetTurn()], r)
+		t.byTurn[r.GetTurn()] = mergeReservations(t.byTurn[r.GetTurn()], r)
 	}
 }
 
-// TokensExcept returns the tokens of all turns but one.
+// TokensExcept returns the sum of the tokens of all turns except the given one.
 func (t *ReservationSet) TokensExcept(turn string) uint64 {
 	var n uint64
 	for id, r := range t.byTurn {
@@ -30,9 +30,9 @@
 	return n
 }
 
-// join returns the later of two reservations of one turn: a settlement counts
-// before what was set aside.
-func join(a, b *fleetpb.Reservation) *fleetpb.Reservation {
+// mergeReservations returns the newer of two reservations of one turn. A
+// settlement replaces a reservation.
+func mergeReservations(a, b *fleetpb.Reservation) *fleetpb.Reservation {
 	switch {
 	case a == nil:
 		return b
--- a/rockbarrow/ledger/statemachine.go
+++ b/rockbarrow/ledger/statemachine.go
@@ -9,59 +9,57 @@
 	"rockbarrow.dev/schema/fleetpb"
 )
 
-// graceFactor times what a program's records are to be kept after its last turn
-// is how long they are kept: a program may come back just before the time is
-// over and then needs its chain for as long again.
-const graceFactor = 2
+// retentionFactor multiplies the requested retention: a program that continues
+// just before the retention ends needs its chain for another period.
+const retentionFactor = 2
 
-// slack is added to that, for a turn under way that is about to be stored.
-const slack = 15 * time.Second
+// retentionMargin is added to the retention, for turns that are still running.
+const retentionMargin = 15 * time.Second
 
-// StateMachine is what one store holds. It is a state machine without a clock; the owner
-// serializes the calls.
+// StateMachine is the state of one store. It is deterministic and reads no clock.
+// It is not safe for concurrent use.
 type StateMachine struct {
-	programs map[string]*program
-	// turns holds each turn of any program by its id.
+	programs map[string]*programState
+	// turns holds the turns of all programs by id.
 	turns map[string]*fleetpb.Turn
 	bytes int64
 }
 
-// program is what belongs to one program: its budget and the chains whose home
-// it is.
-type program struct {
+// programState holds the reservations of a program and the turns whose home it is.
+type programState struct {
 	reservations map[string]*fleetpb.Reservation
-	// endpoint served the turn that was settled last; it has no id if none is known.
-	endpoint life.Life
-	turns    []*fleetpb.Turn
-	retain   time.Duration
-	touched  time.Time
+	// endpoint served the turn that was settled last; its id is empty if unknown.
+	endpoint  life.Life
+	turns     []*fleetpb.Turn
+	retention time.Duration
+	lastUsed  time.Time
 }
 
-// Apply takes a record and reports whether it told anything new.
+// Apply applies a record and reports whether it changed the state.
 func (b *StateMachine) Apply(now time.Time, r *fleetpb.Record) bool {
 	switch k := r.GetKind().(type) {
 	case *fleetpb.Record_Reservation:
-		return b.reserve(now, k.Reservation)
+		return b.applyReservation(now, k.Reservation)
 	case *fleetpb.Record_Turn:
-		return b.keep(now, k.Turn)
+		return b.applyTurn(now, k.Turn)
 	}
 	return false
 }
 
-func (b *StateMachine) reserve(now time.Time, r *fleetpb.ProgramReservation) bool {
-	p := b.program(now, r.GetProgram(), r.GetRetainMs())
-	own := r.GetReservation()
-	old := p.reservations[own.GetTurn()]
-	joined := join(old, own)
-	p.reservations[own.GetTurn()] = joined
-	if own.GetEndpoint() != "" {
-		p.endpoint = life.Life{ID: own.GetEndpoint(), BornMS: own.GetBornMs()}
+func (b *StateMachine) applyReservation(now time.Time, r *fleetpb.ProgramReservation) bool {
+	p := b.touchProgram(now, r.GetProgram(), r.GetRetainMs())
+	reservation := r.GetReservation()
+	old := p.reservations[reservation.GetTurn()]
+	merged := mergeReservations(old, reservation)
+	p.reservations[reservation.GetTurn()] = merged
+	if reservation.GetEndpoint() != "" {
+		p.endpoint = life.Life{ID: reservation.GetEndpoint(), BornMS: reservation.GetBornMs()}
 	}
-	return old == nil || joined != old
+	return old == nil || merged != old
 }
 
-func (b *StateMachine) keep(now time.Time, t *fleetpb.Turn) bool {
-	p := b.program(now, t.GetHome(), t.GetRetainMs())
+func (b *StateMachine) applyTurn(now time.Time, t *fleetpb.Turn) bool {
+	p := b.touchProgram(now, t.GetHome(), t.GetRetainMs())
 	if b.turns[t.GetId()] != nil {
 		return false
 	}
@@ -70,26 +68,27 @@
 	}
 	b.turns[t.GetId()] = t
 	p.turns = append(p.turns, t)
-	b.bytes += size(t)
+	b.bytes += turnSize(t)
 	return true
 }
 
-// program returns a program's entry, and keeps it alive.
-func (b *StateMachine) program(now time.Time, name string, retainMS uint64) *program {
+// touchProgram returns the state of a program, creating it if necessary, and
+// extends its life.
+func (b *StateMachine) touchProgram(now time.Time, name string, retainMS uint64) *programState {
 	p := b.programs[name]
 	if p == nil {
 		if b.programs == nil {
-			b.programs = map[string]*program{}
+			b.programs = map[string]*programState{}
 		}
-		p = &program{reservations: map[string]*fleetpb.Reservation{}}
+		p = &programState{reservations: map[string]*fleetpb.Reservation{}}
 		b.programs[name] = p
 	}
-	p.retain = max(p.retain, time.Duration(retainMS)*time.Millisecond)
-	p.touched = now
+	p.retention = max(p.retention, time.Duration(retainMS)*time.Millisecond)
+	p.lastUsed = now
 	return p
 }
 
-// Reservations returns the reservations of a program in no order.
+// Reservations returns the reservations of a program in unspecified order.
 func (b *StateMachine) Reservations(name string) []*fleetpb.Reservation {
 	p := b.programs[name]
 	if p == nil {
@@ -102,8 +101,8 @@
 	return out
 }
 
-// LastEndpoint returns the endpoint that served a program's turn that was settled last, without
-// an id if none is known.
+// LastEndpoint returns the endpoint that served the program's most recently settled
+// turn. Its id is empty if none is known.
 func (b *StateMachine) LastEndpoint(name string) life.Life {
 	p := b.programs[name]
 	if p == nil {
@@ -112,37 +111,37 @@
 	return p.endpoint
 }
 
-// Has reports whether a turn is held.
+// Has reports whether the state contains a turn.
 func (b *StateMachine) Has(turn string) bool { return b.turns[turn] != nil }
 
-// Chain returns a turn and the turns before it, newest first, up to the first
-// one that is not held here, and keeps them alive.
+// Chain returns a turn and its predecessors, newest first, up to the first one
+// that is not stored here, and extends the life of the turn's home program.
 func (b *StateMachine) Chain(now time.Time, turn string) []*fleetpb.Turn {
 	var out []*fleetpb.Turn
 	for t := b.turns[turn]; t != nil; t = b.turns[t.GetPrevious()] {
 		out = append(out, t)
 	}
 	if len(out) > 0 {
-		b.program(now, out[0].GetHome(), out[0].GetRetainMs())
+		b.touchProgram(now, out[0].GetHome(), out[0].GetRetainMs())
 	}
 	return out
 }
 
-// Expire forgets the programs whose time is over.
+// Expire removes the programs whose retention has ended.
 func (b *StateMachine) Expire(now time.Time) {
 	for name, p := range b.programs {
-		if now.Sub(p.touched) < graceFactor*p.retain+slack {
+		if now.Sub(p.lastUsed) < retentionFactor*p.retention+retentionMargin {
 			continue
 		}
 		for _, t := range p.turns {
 			delete(b.turns, t.GetId())
-			b.bytes -= size(t)
+			b.bytes -= turnSize(t)
 		}
 		delete(b.programs, name)
 	}
 }
 
-// Size returns the programs and turns held, and the bytes of the turns.
+// Size returns the numbers of programs and turns, and the bytes of the turns.
 func (b *StateMachine) Size() (programs, turns int, bytes int64) {
 	return len(b.programs), len(b.turns), b.bytes
 }
@@ -160,11 +159,11 @@
 	if p == nil {
 		return nil
 	}
-	retain := uint64(p.retain.Milliseconds())
+	retention := uint64(p.retention.Milliseconds())
 	var out []*fleetpb.Record
 	for _, r := range p.reservations {
 		out = append(out, &fleetpb.Record{Kind: &fleetpb.Record_Reservation{
-			Reservation: &fleetpb.ProgramReservation{Program: name, Reservation: r, RetainMs: retain},
+			Reservation: &fleetpb.ProgramReservation{Program: name, Reservation: r, RetainMs: retention},
 		}})
 	}
 	for _, t := range p.turns {
@@ -173,4 +172,4 @@
 	return out
 }
 
-func size(t *fleetpb.Turn) int64 { return int64(len(t.GetInput()) + len(t.GetOutput())) }
+func turnSize(t *fleetpb.Turn) int64 { return int64(len(t.GetInput()) + len(t.GetOutput())) }
--- a/rockbarrow/ledger/tracker.go
+++ b/rockbarrow/ledger/tracker.go
@@ -4,37 +4,37 @@
 
 import "rockbarrow.dev/schema/fleetpb"
 
-// QuorumTracker counts the answers to one call that goes to a program's stores.
+// QuorumTracker counts the answers of a program's stores to one call.
 type QuorumTracker struct {
 	epoch uint64
-	// present is the group under the view's members, prior the one under the
-	// members before a change under way, or empty.
-	present, prior []*fleetpb.Member
-	acked, whole   map[uint64]bool
-	refused        map[uint64]bool
+	// current is the group among the view's members, prior the one among the
+	// prior members during a view change, or else empty.
+	current, prior  []*fleetpb.Member
+	acked, complete map[uint64]bool
+	refused         map[uint64]bool
 }
 
-// NewQuorumTracker returns the tally of a program's stores under a view.
+// NewQuorumTracker returns a tracker of a program's stores under a view.
 func NewQuorumTracker(v *fleetpb.View, program string) *QuorumTracker {
-	t := &QuorumTracker{epoch: v.GetEpoch(), acked: map[uint64]bool{}, whole: map[uint64]bool{}, refused: map[uint64]bool{}}
-	t.present = Group(v.GetMembers(), program, int(v.GetCopies()))
+	t := &QuorumTracker{epoch: v.GetEpoch(), acked: map[uint64]bool{}, complete: map[uint64]bool{}, refused: map[uint64]bool{}}
+	t.current = Group(v.GetMembers(), program, int(v.GetCopies()))
 	if len(v.GetPrior()) > 0 {
 		t.prior = Group(v.GetPrior(), program, int(v.GetCopies()))
 	}
 	return t
 }
 
-// NewAllStoresTracker returns a tally of all stores of a view, for a question whose
-// program is not known.
+// NewAllStoresTracker returns a tracker of all stores of a view, for a query whose
+// program is unknown.
 func NewAllStoresTracker(v *fleetpb.View) *QuorumTracker {
 	t := NewQuorumTracker(&fleetpb.View{Epoch: v.GetEpoch()}, "")
-	t.present, t.prior = v.GetMembers(), v.GetPrior()
+	t.current, t.prior = v.GetMembers(), v.GetPrior()
 	return t
 }
 
 // Members returns the stores to call, each once.
 func (t *QuorumTracker) Members() []*fleetpb.Member {
-	out := append([]*fleetpb.Member(nil), t.present...)
+	out := append([]*fleetpb.Member(nil), t.current...)
 	for _, m := range t.prior {
 		if !hasStorage(out, m.GetStorage()) {
 			out = append(out, m)
@@ -43,48 +43,48 @@
 	return out
 }
 
-// Ack counts a store that has synced the record. What it does not tell means
-// something only if it held all records of its groups under the view before this
-// one: while a move is under way the old group answers, and when it has ended
-// the members have what they copied.
+// Ack counts a store that has synced the record. The store counts toward the read
+// quorum only if it was complete for the view or the one right before it: during
+// a view change the old group answers reads, afterwards the members, which have
+// copied its records.
 func (t *QuorumTracker) Ack(storage, wholeEpoch uint64) {
 	t.acked[storage] = true
-	t.whole[storage] = wholeEpoch+1 >= t.epoch
+	t.complete[storage] = wholeEpoch+1 >= t.epoch
 }
 
-// Refuse counts a store that will not answer this call.
+// Refuse counts a store that refused or failed the call.
 func (t *QuorumTracker) Refuse(storage uint64) { t.refused[storage] = true }
 
-// HasWriteQuorum reports whether the record is durable. While a move is under way it is
-// so in the new group, where it stays; whoever reads asks both groups.
+// HasWriteQuorum reports whether the record is durable. During a view change the
+// quorum is that of the new group, which keeps the record; reads call both groups.
 func (t *QuorumTracker) HasWriteQuorum() bool {
-	return count(t.present, t.acked) >= WriteQuorum(len(t.present))
+	return count(t.current, t.acked) >= WriteQuorum(len(t.current))
 }
 
-// HasReadQuorum reports whether what no store has told is certainly not there.
+// HasReadQuorum reports whether a record that no store returned is certainly absent.
 func (t *QuorumTracker) HasReadQuorum() bool {
-	group := t.authority()
-	return len(group) > 0 && count(group, t.whole) >= ReadQuorum(len(group))
+	group := t.authoritativeGroup()
+	return len(group) > 0 && count(group, t.complete) >= ReadQuorum(len(group))
 }
 
-// authority is the group that holds all records from before this view.
-func (t *QuorumTracker) authority() []*fleetpb.Member {
+// authoritativeGroup returns the group that holds all records from before this view.
+func (t *QuorumTracker) authoritativeGroup() []*fleetpb.Member {
 	if len(t.prior) > 0 {
 		return t.prior
 	}
-	return t.present
+	return t.current
 }
 
-// HasReadQuorumInAllGroups reports whether what no store has told is in no group at all:
-// each group has a quorum among the stores that answered.
+// HasReadQuorumInAllGroups reports whether a record that no store returned is
+// absent from every group: each has a read quorum among the stores that answered.
 func (t *QuorumTracker) HasReadQuorumInAllGroups(copies int) bool {
-	return ReadQuorumInAllGroups(t.authority(), copies, func(storage uint64) bool { return t.whole[storage] })
+	return ReadQuorumInAllGroups(t.authoritativeGroup(), copies, func(storage uint64) bool { return t.complete[storage] })
 }
 
 // QuorumLost reports whether a quorum can no longer be reached.
 func (t *QuorumTracker) QuorumLost() bool {
-	group := t.authority()
-	return count(t.present, t.refused) > MaxWriteFailures(len(t.present)) || count(group, t.refused) > MaxReadFailures(len(group))
+	group := t.authoritativeGroup()
+	return count(t.current, t.refused) > MaxWriteFailures(len(t.current)) || count(group, t.refused) > MaxReadFailures(len(group))
 }
 
 // count returns how many members of a group are in a set.
