--- a/rockbarrow/controller/coordinator.go
+++ b/rockbarrow/controller/coordinator.go
@@ -174,15 +174,15 @@
 // reconcile performs the next step towards the planned view and voters.
 func (d *coordinator) reconcile(ctx context.Context, now time.Time) {
 	c := d.controller
-	p := membership.Plan{
-		Now:     now,
-		Stores:  c.presence.members(now, fleetpb.Role_ROLE_STORE, expireAfter),
-		Control: c.presence.members(now, fleetpb.Role_ROLE_CONTROL, expireAfter),
-		Domains: c.presence.presentDomains(now, c.Self.GetFailureDomain()),
-		Copies:  2*c.FaultTolerance + 1,
-		Settled: d.settled(now),
-		Self:    c.Self,
-		Ran:     now.Sub(d.startedAt),
+	p := membership.Planner{
+		Now:          now,
+		Stores:       c.presence.members(now, fleetpb.Role_ROLE_STORE, expireAfter),
+		Control:      c.presence.members(now, fleetpb.Role_ROLE_CONTROL, expireAfter),
+		LiveDomains:  c.presence.presentDomains(now, c.Self.GetFailureDomain()),
+		Copies:       2*c.FaultTolerance + 1,
+		StoresStable: d.settled(now),
+		Self:         c.Self,
+		Uptime:       now.Sub(d.startedAt),
 	}
 	if p.Next(c.State()) == nil {
 		return
@@ -192,7 +192,7 @@
 
 // settled reports whether the number of present stores has been stable for settlePeriod.
 func (d *coordinator) settled(now time.Time) bool {
-	n := len(d.controller.presence.members(now, fleetpb.Role_ROLE_STORE, membership.PresentWithin))
+	n := len(d.controller.presence.members(now, fleetpb.Role_ROLE_STORE, membership.LivenessTimeout))
 	if n != d.presentStores {
 		d.presentStores, d.lastStoreChange = n, now
 	}
@@ -227,9 +227,9 @@
 func (c *Controller) Retire(ctx context.Context, name string) error {
 	var refused error
 	now := time.Now()
-	stores := c.presence.members(now, fleetpb.Role_ROLE_STORE, membership.PresentWithin)
+	stores := c.presence.members(now, fleetpb.Role_ROLE_STORE, membership.LivenessTimeout)
 	_, err := c.Change(ctx, func(s *fleetpb.State) *fleetpb.State {
-		refused = membership.MayRetire(s, stores, name, c.FaultTolerance+1)
+		refused = membership.CheckRetire(s, stores, name, c.FaultTolerance+1)
 		if refused != nil || slices.Contains(s.GetView().GetLeaving(), name) || slices.Contains(s.GetRetired(), name) {
 			return nil
 		}
--- a/rockbarrow/controller/presence.go
+++ b/rockbarrow/controller/presence.go
@@ -55,7 +55,7 @@
 		r.controlPeers = map[string]membership.Peer{}
 	}
 	name := req.GetSender().GetInstance()
-	r.controlPeers[name] = membership.Peer{Member: req.GetSender(), Heard: now, Copied: req.GetCopiedEpoch()}
+	r.controlPeers[name] = membership.Peer{Member: req.GetSender(), LastSeen: now, CopiedEpoch: req.GetCopiedEpoch()}
 	r.mu.Unlock()
 	if req.GetRelayed() == nil {
 		return 0, nil
@@ -70,7 +70,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for name, p := range r.controlPeers {
-		p.Heard = now
+		p.LastSeen = now
 		r.controlPeers[name] = p
 	}
 }
@@ -81,7 +81,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for name, p := range r.controlPeers {
-		if now.Sub(p.Heard) > expireAfter {
+		if now.Sub(p.LastSeen) > expireAfter {
 			delete(r.controlPeers, name)
 		}
 	}
@@ -94,7 +94,7 @@
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		for _, p := range r.controlPeers {
-			if now.Sub(p.Heard) < within {
+			if now.Sub(p.LastSeen) < within {
 				out = append(out, p)
 			}
 		}
@@ -102,7 +102,7 @@
 		return out
 	}
 	for _, i := range r.fleet.Instances(now, role, within) {
-		out = append(out, membership.Peer{Member: i.Member, Heard: i.LastHeard, Copied: i.CopiedEpoch})
+		out = append(out, membership.Peer{Member: i.Member, LastSeen: i.LastHeard, CopiedEpoch: i.CopiedEpoch})
 	}
 	return out
 }
@@ -111,7 +111,7 @@
 func (r *presence) presentDomains(now time.Time, own string) map[string]bool {
 	out := map[string]bool{own: true}
 	for _, role := range []fleetpb.Role{fleetpb.Role_ROLE_CONTROL, fleetpb.Role_ROLE_ENTRY, fleetpb.Role_ROLE_STORE} {
-		for _, p := range r.members(now, role, membership.PresentWithin) {
+		for _, p := range r.members(now, role, membership.LivenessTimeout) {
 			out[p.Member.GetFailureDomain()] = true
 		}
 	}
@@ -128,7 +128,7 @@
 			out = append(out, at[name])
 		}
 		at[name].Known++
-		if now.Sub(i.LastHeard) < membership.PresentWithin {
+		if now.Sub(i.LastHeard) < membership.LivenessTimeout {
 			present++
 		}
 		if now.Sub(i.LastHeard) < servingTimeout {
--- a/rockbarrow/controller/updates.go
+++ b/rockbarrow/controller/updates.go
@@ -113,7 +113,7 @@
 	if h := c.memberSummaryCache.Load(); h != nil && now.Sub(h.at) < memberSummaryTTL {
 		return h
 	}
-	h := &memberSummary{at: now, control: c.controlMembers(now, membership.PresentWithin)}
+	h := &memberSummary{at: now, control: c.controlMembers(now, membership.LivenessTimeout)}
 	h.controlChecksum = membersChecksum(h.control)
 	h.entryDomains, h.presentEntries = c.presence.entryDomains(now)
 	c.memberSummaryCache.Store(h)
--- /dev/null
+++ b/rockbarrow/ledger/statemachine.go
@@ -0,0 +1,175 @@
+// SPDX-License-Identifier: MIT
+
+package ledger
+
+import (
+	"time"
+
+	"rockbarrow.dev/rockbarrow/life"
+	"rockbarrow.dev/schema/fleetpb"
+)
+
+// retentionFactor multiplies the requested retention: a program that continues
+// just before the retention ends needs its chain for another period.
+const retentionFactor = 2
+
+// retentionMargin is added to the retention, for turns that are still running.
+const retentionMargin = 15 * time.Second
+
+// StateMachine is the state of one store. It is deterministic and reads no clock.
+// It is not safe for concurrent use.
+type StateMachine struct {
+	programs map[string]*programState
+	// turns holds the turns of all programs by id.
+	turns map[string]*fleetpb.Turn
+	bytes int64
+}
+
+// programState holds the reservations of a program and the turns whose home it is.
+type programState struct {
+	reservations map[string]*fleetpb.Reservation
+	// endpoint served the turn that was settled last; its id is empty if unknown.
+	endpoint  life.Life
+	turns     []*fleetpb.Turn
+	retention time.Duration
+	lastUsed  time.Time
+}
+
+// Apply applies a record and reports whether it changed the state.
+func (b *StateMachine) Apply(now time.Time, r *fleetpb.Record) bool {
+	switch k := r.GetKind().(type) {
+	case *fleetpb.Record_Reservation:
+		return b.applyReservation(now, k.Reservation)
+	case *fleetpb.Record_Turn:
+		return b.applyTurn(now, k.Turn)
+	}
+	return false
+}
+
+func (b *StateMachine) applyReservation(now time.Time, r *fleetpb.ProgramReservation) bool {
+	p := b.touchProgram(now, r.GetProgram(), r.GetRetainMs())
+	reservation := r.GetReservation()
+	old := p.reservations[reservation.GetTurn()]
+	merged := mergeReservations(old, reservation)
+	p.reservations[reservation.GetTurn()] = merged
+	if reservation.GetEndpoint() != "" {
+		p.endpoint = life.Life{ID: reservation.GetEndpoint(), BornMS: reservation.GetBornMs()}
+	}
+	return old == nil || merged != old
+}
+
+func (b *StateMachine) applyTurn(now time.Time, t *fleetpb.Turn) bool {
+	p := b.touchProgram(now, t.GetHome(), t.GetRetainMs())
+	if b.turns[t.GetId()] != nil {
+		return false
+	}
+	if b.turns == nil {
+		b.turns = map[string]*fleetpb.Turn{}
+	}
+	b.turns[t.GetId()] = t
+	p.turns = append(p.turns, t)
+	b.bytes += turnSize(t)
+	return true
+}
+
+// touchProgram returns the state of a program, creating it if necessary, and
+// extends its life.
+func (b *StateMachine) touchProgram(now time.Time, name string, retainMS uint64) *programState {
+	p := b.programs[name]
+	if p == nil {
+		if b.programs == nil {
+			b.programs = map[string]*programState{}
+		}
+		p = &programState{reservations: map[string]*fleetpb.Reservation{}}
+		b.programs[name] = p
+	}
+	p.retention = max(p.retention, time.Duration(retainMS)*time.Millisecond)
+	p.lastUsed = now
+	return p
+}
+
+// Reservations returns the reservations of a program in unspecified order.
+func (b *StateMachine) Reservations(name string) []*fleetpb.Reservation {
+	p := b.programs[name]
+	if p == nil {
+		return nil
+	}
+	out := make([]*fleetpb.Reservation, 0, len(p.reservations))
+	for _, r := range p.reservations {
+		out = append(out, r)
+	}
+	return out
+}
+
+// LastEndpoint returns the endpoint that served the program's most recently settled
+// turn. Its id is empty if none is known.
+func (b *StateMachine) LastEndpoint(name string) life.Life {
+	p := b.programs[name]
+	if p == nil {
+		return life.Life{}
+	}
+	return p.endpoint
+}
+
+// Has reports whether the state contains a turn.
+func (b *StateMachine) Has(turn string) bool { return b.turns[turn] != nil }
+
+// Chain returns a turn and its predecessors, newest first, up to the first one
+// that is not stored here, and extends the life of the turn's home program.
+func (b *StateMachine) Chain(now time.Time, turn string) []*fleetpb.Turn {
+	var out []*fleetpb.Turn
+	for t := b.turns[turn]; t != nil; t = b.turns[t.GetPrevious()] {
+		out = append(out, t)
+	}
+	if len(out) > 0 {
+		b.touchProgram(now, out[0].GetHome(), out[0].GetRetainMs())
+	}
+	return out
+}
+
+// Expire removes the programs whose retention has ended.
+func (b *StateMachine) Expire(now time.Time) {
+	for name, p := range b.programs {
+		if now.Sub(p.lastUsed) < retentionFactor*p.retention+retentionMargin {
+			continue
+		}
+		for _, t := range p.turns {
+			delete(b.turns, t.GetId())
+			b.bytes -= turnSize(t)
+		}
+		delete(b.programs, name)
+	}
+}
+
+// Size returns the numbers of programs and turns, and the bytes of the turns.
+func (b *StateMachine) Size() (programs, turns int, bytes int64) {
+	return len(b.programs), len(b.turns), b.bytes
+}
+
+// Programs calls yield with the name of each program.
+func (b *StateMachine) Programs(yield func(name string)) {
+	for name := range b.programs {
+		yield(name)
+	}
+}
+
+// Records returns all records of a program.
+func (b *StateMachine) Records(name string) []*fleetpb.Record {
+	p := b.programs[name]
+	if p == nil {
+		return nil
+	}
+	retention := uint64(p.retention.Milliseconds())
+	var out []*fleetpb.Record
+	for _, r := range p.reservations {
+		out = append(out, &fleetpb.Record{Kind: &fleetpb.Record_Reservation{
+			Reservation: &fleetpb.ProgramReservation{Program: name, Reservation: r, RetainMs: retention},
+		}})
+	}
+	for _, t := range p.turns {
+		out = append(out, &fleetpb.Record{Kind: &fleetpb.Record_Turn{Turn: t}})
+	}
+	return out
+}
+
+func turnSize(t *fleetpb.Turn) int64 { return int64(len(t.GetInput()) + len(t.GetOutput())) }
--- /dev/null
+++ b/rockbarrow/ledger/tracker.go
@@ -0,0 +1,108 @@
+// SPDX-License-Identifier: MIT
+
+package ledger
+
+import "rockbarrow.dev/schema/fleetpb"
+
+// QuorumTracker counts the answers of a program's stores to one call.
+type QuorumTracker struct {
+	epoch uint64
+	// current is the group among the view's members, prior the one among the
+	// prior members during a view change, or else empty.
+	current, prior  []*fleetpb.Member
+	acked, complete map[uint64]bool
+	refused         map[uint64]bool
+}
+
+// NewQuorumTracker returns a tracker of a program's stores under a view.
+func NewQuorumTracker(v *fleetpb.View, program string) *QuorumTracker {
+	t := &QuorumTracker{epoch: v.GetEpoch(), acked: map[uint64]bool{}, complete: map[uint64]bool{}, refused: map[uint64]bool{}}
+	t.current = Group(v.GetMembers(), program, int(v.GetCopies()))
+	if len(v.GetPrior()) > 0 {
+		t.prior = Group(v.GetPrior(), program, int(v.GetCopies()))
+	}
+	return t
+}
+
+// NewAllStoresTracker returns a tracker of all stores of a view, for a query whose
+// program is unknown.
+func NewAllStoresTracker(v *fleetpb.View) *QuorumTracker {
+	t := NewQuorumTracker(&fleetpb.View{Epoch: v.GetEpoch()}, "")
+	t.current, t.prior = v.GetMembers(), v.GetPrior()
+	return t
+}
+
+// Members returns the stores to call, each once.
+func (t *QuorumTracker) Members() []*fleetpb.Member {
+	out := append([]*fleetpb.Member(nil), t.current...)
+	for _, m := range t.prior {
+		if !hasStorage(out, m.GetStorage()) {
+			out = append(out, m)
+		}
+	}
+	return out
+}
+
+// Ack counts a store that has synced the record. The store counts toward the read
+// quorum only if it was complete for the view or the one right before it: during
+// a view change the old group answers reads, afterwards the members, which have
+// copied its records.
+func (t *QuorumTracker) Ack(storage, wholeEpoch uint64) {
+	t.acked[storage] = true
+	t.complete[storage] = wholeEpoch+1 >= t.epoch
+}
+
+// Refuse counts a store that refused or failed the call.
+func (t *QuorumTracker) Refuse(storage uint64) { t.refused[storage] = true }
+
+// HasWriteQuorum reports whether the record is durable. During a view change the
+// quorum is that of the new group, which keeps the record; reads call both groups.
+func (t *QuorumTracker) HasWriteQuorum() bool {
+	return count(t.current, t.acked) >= WriteQuorum(len(t.current))
+}
+
+// HasReadQuorum reports whether a record that no store returned is certainly absent.
+func (t *QuorumTracker) HasReadQuorum() bool {
+	group := t.authoritativeGroup()
+	return len(group) > 0 && count(group, t.complete) >= ReadQuorum(len(group))
+}
+
+// authoritativeGroup returns the group that holds all records from before this view.
+func (t *QuorumTracker) authoritativeGroup() []*fleetpb.Member {
+	if len(t.prior) > 0 {
+		return t.prior
+	}
+	return t.current
+}
+
+// HasReadQuorumInAllGroups reports whether a record that no store returned is
+// absent from every group: each has a read quorum among the stores that answered.
+func (t *QuorumTracker) HasReadQuorumInAllGroups(copies int) bool {
+	return ReadQuorumInAllGroups(t.authoritativeGroup(), copies, func(storage uint64) bool { return t.complete[storage] })
+}
+
+// QuorumLost reports whether a quorum can no longer be reached.
+func (t *QuorumTracker) QuorumLost() bool {
+	group := t.authoritativeGroup()
+	return count(t.current, t.refused) > MaxWriteFailures(len(t.current)) || count(group, t.refused) > MaxReadFailures(len(group))
+}
+
+// count returns how many members of a group are in a set.
+func count(group []*fleetpb.Member, set map[uint64]bool) int {
+	n := 0
+	for _, m := range group {
+		if set[m.GetStorage()] {
+			n++
+		}
+	}
+	return n
+}
+
+func hasStorage(list []*fleetpb.Member, storage uint64) bool {
+	for _, m := range list {
+		if m.GetStorage() == storage {
+			return true
+		}
+	}
+	return false
+}
