--- a/rockbarrow/controller/controller.go
+++ b/rockbarrow/controller/controller.go
@@ -140,7 +140,7 @@
 	c.reach.Store(&fleetpb.Reach{FailureDomains: []string{c.Self.GetFailureDomain()}, AllRelay: true})
 	c.watch = &watch.Client{
 		Self: c.Self, Role: fleetpb.Role_ROLE_CONTROL,
-		Seeds: c.Seeds, Pool: c.Pool, Log: c.Log, Hold: peerHold, Changed: c.publish,
+		Seeds: c.Seeds, Pool: c.Pool, Log: c.Log, LongPollTimeout: peerHold, OnChange: c.publish,
 		Relayed:   c.relayed,
 		Documents: document.Cache{Keep: keptDocuments, Log: c.Log},
 		Lists:     document.Cache{Keep: keptDocuments, Log: c.Log},
--- a/rockbarrow/entry/stores_test.go
+++ b/rockbarrow/entry/stores_test.go
@@ -110,7 +110,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		w.Changed = s.Wake
+		w.OnChange = s.Wake
 		g := dial.Server()
 		fleetpb.RegisterStoreServer(g, s)
 		ctx, cancel := context.WithCancel(context.Background())
--- a/rockbarrow/stores/group_test.go
+++ b/rockbarrow/stores/group_test.go
@@ -95,7 +95,7 @@
 		p.t.Fatal(err)
 	}
 	p.store = s
-	p.watch.Changed = s.Wake
+	p.watch.OnChange = s.Wake
 	g := dial.Server()
 	fleetpb.RegisterStoreServer(g, &counted{Store: s, reserves: &p.reserves})
 	ctx, cancel := context.WithCancel(context.Background())
--- a/rockbarrow/watch/customers_test.go
+++ b/rockbarrow/watch/customers_test.go
@@ -99,8 +99,8 @@
 	c, control := newTableClient(t), &teller{reply: &fleetpb.WatchReply{Confirmed: &fleetpb.Confirmed{Version: 7, AgeUs: uint64(age.Microseconds())}}}
 	var version uint64
 	var at time.Time
-	c.Confirmed = func(v uint64, moment time.Time) { version, at = v, moment }
-	c.Unconfirmed = func() bool { return true }
+	c.OnConfirmed = func(v uint64, moment time.Time) { version, at = v, moment }
+	c.AwaitsConfirmation = func() bool { return true }
 	if err := c.serve(t, control).watch(t.Context()); err != nil {
 		t.Fatal(err)
 	}
--- a/rockbarrow/watch/follow_test.go
+++ b/rockbarrow/watch/follow_test.go
@@ -232,7 +232,7 @@
 // TestCallsAreReportedToOneControlInstance: it relays them, so that the others would count them twice.
 func TestCallsAreReportedToOneControlInstance(t *testing.T) {
 	c, near, far := newTableClient(t), &teller{reply: &fleetpb.WatchReply{}}, &teller{reply: &fleetpb.WatchReply{}}
-	c.Uses = func() []Use { return []Use{{Running: 1, Answered: 5}} }
+	c.EndpointUses = func() []Use { return []Use{{Running: 1, Answered: 5}} }
 	first, second := c.serve(t, near), c.serve(t, far)
 	second.member = &fleetpb.Member{FailureDomain: "b"}
 	near.reply.Responder, far.reply.Responder = first.member, second.member
--- a/rockbarrow/watch/received.go
+++ b/rockbarrow/watch/received.go
@@ -87,8 +87,8 @@
 }
 
 func (c *Client) changed() {
-	if c.Changed != nil {
-		c.Changed()
+	if c.OnChange != nil {
+		c.OnChange()
 	}
 }
 
--- a/rockbarrow/watch/table.go
+++ b/rockbarrow/watch/table.go
@@ -99,7 +99,7 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	within := t.client.PartWithin
+	within := t.client.PartTimeout
 	if within == 0 {
 		within = partWithin
 	}
--- a/rockbarrow/watch/table_test.go
+++ b/rockbarrow/watch/table_test.go
@@ -48,7 +48,7 @@
 	log.SetOutput(io.Discard)
 	pool := &dial.Pool{}
 	t.Cleanup(pool.Close)
-	c := &Client{Self: &fleetpb.Member{Instance: "entry", FailureDomain: "a"}, Pool: pool, Log: logrus.NewEntry(log), targets: map[string]*target{}, PartWithin: patient}
+	c := &Client{Self: &fleetpb.Member{Instance: "entry", FailureDomain: "a"}, Pool: pool, Log: logrus.NewEntry(log), targets: map[string]*target{}, PartTimeout: patient}
 	for i, s := range scripts {
 		t := c.serve(t, s)
 		if i > 0 {
--- a/rockbarrow/watch/target.go
+++ b/rockbarrow/watch/target.go
@@ -88,7 +88,7 @@
 	if err != nil {
 		return err
 	}
-	held := c.Hold
+	held := c.LongPollTimeout
 	if held == 0 {
 		held = longPollTimeout
 	}
@@ -103,13 +103,13 @@
 	primary := c.primary(asked)
 	req.WantsNews = primary == nil || primary == t || c.Role == fleetpb.Role_ROLE_CONTROL || t.hasNewer(req)
 	var uses reported
-	if c.Uses != nil && primary == t {
+	if c.EndpointUses != nil && primary == t {
 		req.WantsLoads = true
-		req.Uses, uses = c.reportedUses().since(c.Uses())
+		req.Uses, uses = c.reportedUses().since(c.EndpointUses())
 	}
 	t.compact(req)
 	customers := t.customerUses(req)
-	req.Unconfirmed = c.Unconfirmed != nil && c.Unconfirmed()
+	req.Unconfirmed = c.AwaitsConfirmation != nil && c.AwaitsConfirmation()
 	if req.GetWantsNews() && !t.whole {
 		req.Held = c.Documents.Held()
 		if c.Role != fleetpb.Role_ROLE_STORE {
@@ -245,8 +245,8 @@
 	if l := c.List(); l != nil {
 		req.ListNumber = l.list.Number()
 	}
-	if c.Copied != nil {
-		req.CopiedEpoch = c.Copied()
+	if c.CopiedEpoch != nil {
+		req.CopiedEpoch = c.CopiedEpoch()
 	}
 	if c.Serves != nil {
 		req.Serves = c.Serves()
--- a/rockbarrow/watch/watch.go
+++ b/rockbarrow/watch/watch.go
@@ -47,30 +47,30 @@
 	Seeds []string
 	Pool  *dial.Pool
 	Log   *logrus.Entry
-	// Hold bounds one call; zero means the default.
-	Hold time.Duration
-	// PartWithin bounds the wait for a part of a routing table; zero means the default.
-	PartWithin time.Duration
-	// Copied returns the newest view whose records the sender holds; may be nil.
-	Copied func() uint64
+	// LongPollTimeout bounds one call; zero means the default.
+	LongPollTimeout time.Duration
+	// PartTimeout bounds the wait for a part of a routing table; zero means the default.
+	PartTimeout time.Duration
+	// CopiedEpoch returns the newest view whose records the sender holds; may be nil.
+	CopiedEpoch func() uint64
 	// Serves reports whether an entry instance takes requests; may be nil.
 	Serves func() bool
-	// Changed is told of each newer state or list, if set. It must not block.
-	Changed func()
-	// Uses returns the sender's calls at endpoints, and Loads is told of those of
+	// OnChange is told of each newer state or list, if set. It must not block.
+	OnChange func()
+	// EndpointUses returns the sender's calls at endpoints, and OnLoads is told of those of
 	// other instances; both are nil where the sender has none.
-	Uses  func() []Use
-	Loads func(*fleetpb.EndpointLoads)
-	// Confirmed is told up to which moment a version of the configuration was known to be the newest; may be
+	EndpointUses func() []Use
+	OnLoads      func(*fleetpb.EndpointLoads)
+	// OnConfirmed is told up to which moment a version of the configuration was known to be the newest; may be
 	// nil.
-	Confirmed func(version uint64, at time.Time)
-	// Unconfirmed reports whether the sender waits for the first of these; may be nil.
-	Unconfirmed func() bool
+	OnConfirmed func(version uint64, at time.Time)
+	// AwaitsConfirmation reports whether the sender waits for the first of these; may be nil.
+	AwaitsConfirmation func() bool
 	// CustomerUses returns how many requests of each customer were let in since the process began, but for those
-	// that one control instance granted, and Customers is told who was let in at all entry instances, by a control
+	// that one control instance granted, and OnCustomerCounts is told who was let in at all entry instances, by a control
 	// instance that was asked at a moment. Both are nil where the sender lets nobody in.
-	CustomerUses func(control string, whole bool) []CustomerUse
-	Customers    func(counts []*fleetpb.CustomerCount, asked time.Time)
+	CustomerUses     func(control string, whole bool) []CustomerUse
+	OnCustomerCounts func(counts []*fleetpb.CustomerCount, asked time.Time)
 	// FollowAll reports whether every control instance is to be called, as quotas need it; nil is no.
 	FollowAll func() bool
 	// Relayed returns what a control instance passes on to one that has acknowledged a sequence; nil for other roles.
@@ -237,14 +237,14 @@
 	}
 	c.Receive(r)
 	c.receiveList(r, list, by)
-	if r.GetLoads() != nil && c.Loads != nil {
-		c.Loads(r.GetLoads())
+	if r.GetLoads() != nil && c.OnLoads != nil {
+		c.OnLoads(r.GetLoads())
 	}
-	if f := r.GetConfirmed(); f != nil && c.Confirmed != nil {
-		c.Confirmed(f.GetVersion(), asked.Add(-time.Duration(f.GetAgeUs())*time.Microsecond))
+	if f := r.GetConfirmed(); f != nil && c.OnConfirmed != nil {
+		c.OnConfirmed(f.GetVersion(), asked.Add(-time.Duration(f.GetAgeUs())*time.Microsecond))
 	}
-	if r.GetCustomers() != nil && c.Customers != nil {
-		c.Customers(r.GetCustomers().GetCounts(), asked)
+	if r.GetCustomers() != nil && c.OnCustomerCounts != nil {
+		c.OnCustomerCounts(r.GetCustomers().GetCounts(), asked)
 	}
 }
 
