--- a/rockbarrow/controller/controller.go
+++ b/rockbarrow/controller/controller.go
@@ -195,7 +195,7 @@
 func (c *Controller) Learned() bool { return c.State() != nil }
 
 // Endpoints returns the newest list and when it was read.
-func (c *Controller) Endpoints() *watch.Reading { return c.watch.List() }
+func (c *Controller) Endpoints() *watch.ListSnapshot { return c.watch.List() }
 
 // publish wakes the calls that wait for news.
 func (c *Controller) publish() {
@@ -251,7 +251,7 @@
 			return nil, &UnavailableError{Cause: errors.New("the voters have no value yet")}
 		}
 		raise(&c.madeState, s.GetNumber())
-		c.watch.Offer(s)
+		c.watch.UpdateState(s)
 		return s, nil
 	}
 }
--- a/rockbarrow/controller/duties.go
+++ b/rockbarrow/controller/duties.go
@@ -127,7 +127,7 @@
 	}
 	d.told = now
 	c.Log.WithFields(logrus.Fields{
-		"seeds": c.Seeds, "heard": names(c.watch.Control(foundersWithin)), "founder": c.Founder, "rank": c.rank(now),
+		"seeds": c.Seeds, "heard": names(c.watch.ControlInstances(foundersWithin)), "founder": c.Founder, "rank": c.rank(now),
 		"holds_state": c.saved.Load().GetState().GetNumber(),
 	}).Warn("no deployment is known yet")
 }
--- a/rockbarrow/controller/lives.go
+++ b/rockbarrow/controller/lives.go
@@ -288,5 +288,5 @@
 	named := &fleetpb.EndpointList{
 		Endpoints: c.lives.name(time.Now(), known.List(), known.List().GetEndpoints()), Calls: known.List().GetCalls(),
 	}
-	c.offerList(c.numberList(known.Version(), named), known.At())
+	c.offerList(c.numberList(known.Version(), named), known.ConfirmedAt())
 }
--- a/rockbarrow/controller/lives_test.go
+++ b/rockbarrow/controller/lives_test.go
@@ -94,7 +94,7 @@
 	p.lose("x", 1000)
 	await(t, func() bool { return p.born("x") == 900 })
 	late := &fleetpb.EndpointList{Number: p.controller.Endpoints().List().GetNumber() + 1<<tagBits, Endpoints: lagging.GetEndpoints()}
-	p.controller.Watcher().OfferList(late, time.Now())
+	p.controller.Watcher().UpdateList(late, time.Now())
 	await(t, func() bool { return p.born("x") == 900 })
 	if n := p.reports.questions("x"); n != 2 {
 		t.Errorf("asked %d times, want at the first sight and at a loss", n)
--- a/rockbarrow/controller/reach.go
+++ b/rockbarrow/controller/reach.go
@@ -47,7 +47,7 @@
 	if register.Has(voters, c.Self.GetStorage()) {
 		reached++
 	}
-	for _, m := range c.watch.Control(reachedWithin) {
+	for _, m := range c.watch.ControlInstances(reachedWithin) {
 		if register.Has(voters, m.GetStorage()) {
 			reached++
 		}
--- a/rockbarrow/controller/reader.go
+++ b/rockbarrow/controller/reader.go
@@ -88,7 +88,7 @@
 	rank := time.Duration(r.controller.rank(now))
 	if l.Version().Number() >= r.controller.listFloor.Load() {
 		r.behind = time.Time{}
-		return now.Sub(l.At()) > r.controller.readInterval(l.List().GetCalls())+rank*rankDelay
+		return now.Sub(l.ConfirmedAt()) > r.controller.readInterval(l.List().GetCalls())+rank*rankDelay
 	}
 	if r.behind.IsZero() {
 		r.behind = now
@@ -148,5 +148,5 @@
 	if l != c.watch.List().Version() {
 		raise(&c.madeList, l.Number())
 	}
-	c.watch.OfferVersion(l, at)
+	c.watch.UpdateListVersion(l, at)
 }
--- a/rockbarrow/controller/relay_test.go
+++ b/rockbarrow/controller/relay_test.go
@@ -106,7 +106,7 @@
 	}
 	peer := &fleetpb.WatchRequest{Role: fleetpb.Role_ROLE_CONTROL, WantsNews: true}
 	entry := &fleetpb.WatchRequest{Role: fleetpb.Role_ROLE_ENTRY, WantsNews: true}
-	c.watch.OfferList(&fleetpb.EndpointList{Number: 5}, time.Now())
+	c.watch.UpdateList(&fleetpb.EndpointList{Number: 5}, time.Now())
 	if c.hasUpdate(peer, false) || !c.hasUpdate(peer, true) || !c.hasUpdate(entry, false) {
 		t.Error("what was learned from others is told to a control instance whose call waits")
 	}
--- a/rockbarrow/controller/rounds.go
+++ b/rockbarrow/controller/rounds.go
@@ -109,7 +109,7 @@
 // seedMembers returns who answers at the address of each seed. One whom nobody has heard lately has
 // no storage.
 func (c *Controller) seedMembers() []*fleetpb.Member {
-	heard := append(c.watch.Control(foundersWithin), c.Self)
+	heard := append(c.watch.ControlInstances(foundersWithin), c.Self)
 	var out []*fleetpb.Member
 	for _, address := range c.FirstSeeds {
 		seed := &fleetpb.Member{Address: address}
--- a/rockbarrow/controller/tables_test.go
+++ b/rockbarrow/controller/tables_test.go
@@ -205,7 +205,7 @@
 	put(t, core[0], 1, string(configuration(t, 1, 10)))
 	w := newEntryWatch(t, core)
 	awaitVersion(t, w, 1)
-	await(t, func() bool { return len(w.Control(time.Minute)) == len(core) })
+	await(t, func() bool { return len(w.ControlInstances(time.Minute)) == len(core) })
 	for _, p := range core {
 		await(t, func() bool { return p.controller.RoutingTable().Version() == 1 })
 	}
--- a/rockbarrow/controller/updates.go
+++ b/rockbarrow/controller/updates.go
@@ -150,7 +150,7 @@
 	}
 	if l := c.watch.List(); l != nil {
 		r.ListKnown, r.ListNumber = true, l.List().GetNumber()
-		r.ListAgeMs = uint64(max(0, now.Sub(l.At()).Milliseconds()))
+		r.ListAgeMs = uint64(max(0, now.Sub(l.ConfirmedAt()).Milliseconds()))
 		if req.GetWantsNews() && c.hasList(req) {
 			c.putList(r, l.Version(), req)
 		}
--- a/rockbarrow/entry/entry_test.go
+++ b/rockbarrow/entry/entry_test.go
@@ -94,8 +94,8 @@
 		Decode: func([]byte) (*fleetpb.Document, error) { return document(), nil },
 	}
 	e.Init()
-	w.Offer(&fleetpb.State{Number: 1, Configuration: &fleetpb.Configuration{Version: 1}, View: &fleetpb.View{Epoch: 1, Copies: 3}})
-	w.OfferList(list(1), time.Now())
+	w.UpdateState(&fleetpb.State{Number: 1, Configuration: &fleetpb.Configuration{Version: 1}, View: &fleetpb.View{Epoch: 1, Copies: 3}})
+	w.UpdateList(list(1), time.Now())
 	e.refresh()
 	return e
 }
@@ -180,9 +180,9 @@
 func TestLeavingEndpointsGetNothingAlsoAfterAnOlderList(t *testing.T) {
 	s := &fakeSender{answers: []func(Offer) (*Answer, error){answers(200, "ok")}}
 	e := newEntry(t, s)
-	e.Watch.OfferList(list(2, "x", "y"), time.Now())
+	e.Watch.UpdateList(list(2, "x", "y"), time.Now())
 	e.refresh()
-	e.Watch.OfferList(list(3), time.Now())
+	e.Watch.UpdateList(list(3), time.Now())
 	e.refresh()
 	for range 20 {
 		e.Serve(t.Context(), ask("/once/1"), &fakeOut{})
@@ -263,7 +263,7 @@
 		}, false},
 	}
 	for _, test := range tests {
-		e.Watch.Receive(&fleetpb.WatchReply{EntryDomains: test.counts})
+		e.Watch.ApplyReply(&fleetpb.WatchReply{EntryDomains: test.counts})
 		if ready, why := e.Ready(); ready != test.ready {
 			t.Errorf("%s: ready %v %s", test.name, ready, why)
 		}
@@ -282,7 +282,7 @@
 	for _, name := range []string{"1", "2", "3"} {
 		members = append(members, &fleetpb.Member{Instance: name, Storage: uint64(len(members) + 1), FailureDomain: "b"})
 	}
-	e.Watch.Offer(&fleetpb.State{Number: 2, Configuration: &fleetpb.Configuration{Version: 1},
+	e.Watch.UpdateState(&fleetpb.State{Number: 2, Configuration: &fleetpb.Configuration{Version: 1},
 		Voters: members, View: &fleetpb.View{Epoch: 1, Copies: 3, Members: members}})
 	if ready, _ := e.Ready(); ready {
 		t.Error("ready although no store and no voter has ever answered")
@@ -297,7 +297,7 @@
 		t.Fatal(why)
 	}
 	e.Watch = &watch.Client{Log: e.Log}
-	e.Watch.Offer(&fleetpb.State{Number: 1, Configuration: &fleetpb.Configuration{Version: 1}})
+	e.Watch.UpdateState(&fleetpb.State{Number: 1, Configuration: &fleetpb.Configuration{Version: 1}})
 	if ready, _ := e.Ready(); ready {
 		t.Error("ready although no store is chosen")
 	}
--- a/rockbarrow/entry/evacuation_test.go
+++ b/rockbarrow/entry/evacuation_test.go
@@ -26,7 +26,7 @@
 	for _, d := range domains {
 		s.Evacuations = append(s.Evacuations, &fleetpb.Evacuation{FailureDomain: d})
 	}
-	e.Watch.Offer(s)
+	e.Watch.UpdateState(s)
 	e.refresh()
 }
 
--- a/rockbarrow/entry/exchange.go
+++ b/rockbarrow/entry/exchange.go
@@ -144,7 +144,7 @@
 	x.list = f.reading.List().GetNumber()
 	now := time.Now()
 	if current := x.entry.Watch.List(); current != nil {
-		x.listAge = now.Sub(current.At()).Milliseconds()
+		x.listAge = now.Sub(current.ConfirmedAt()).Milliseconds()
 	}
 	return f.Choose(now, placement.Request{
 		Class:  placement.Class{Service: x.service.GetName()},
@@ -220,7 +220,7 @@
 
 // connections is this instance's part of the connections to one endpoint.
 func (x *exchange) connections() int {
-	return max(1, int(x.service.GetMaxConnections())/x.entry.Watch.Entries())
+	return max(1, int(x.service.GetMaxConnections())/x.entry.Watch.EntryCount())
 }
 
 // stop says how a request ends after a failed attempt, or nil if it may be offered
--- a/rockbarrow/entry/gate.go
+++ b/rockbarrow/entry/gate.go
@@ -174,5 +174,5 @@
 // places is how many requests this instance may have at the service's endpoints.
 func (x *exchange) places() int {
 	f := x.entry.fleet.Load()
-	return f.Places(time.Now(), placement.Class{Service: x.service.GetName()}, x.entry.Watch.Entries())
+	return f.Places(time.Now(), placement.Class{Service: x.service.GetName()}, x.entry.Watch.EntryCount())
 }
--- a/rockbarrow/entry/gate_test.go
+++ b/rockbarrow/entry/gate_test.go
@@ -36,7 +36,7 @@
 			d.Version, d.Services[0].Slots = 2, 1
 			return d, nil
 		}
-		e.Watch.Offer(&fleetpb.State{Number: 3, Configuration: &fleetpb.Configuration{Version: 2}, View: view})
+		e.Watch.UpdateState(&fleetpb.State{Number: 3, Configuration: &fleetpb.Configuration{Version: 2}, View: view})
 		e.refresh()
 		ended := make(chan Outcome, 100)
 		ask := func(n int, program string) {
@@ -95,8 +95,8 @@
 			d.Version, d.Services[0].Slots = 2, 1
 			return d, nil
 		}
-		e.Watch.Offer(&fleetpb.State{Number: 3, Configuration: &fleetpb.Configuration{Version: 2}, View: view})
-		e.Watch.OfferList(list(2, "x", "y", "z"), time.Now())
+		e.Watch.UpdateState(&fleetpb.State{Number: 3, Configuration: &fleetpb.Configuration{Version: 2}, View: view})
+		e.Watch.UpdateList(list(2, "x", "y", "z"), time.Now())
 		e.refresh()
 		e.lines.add("known", "", life.Life{ID: "x"})
 		ended := make(chan Outcome, 1)
@@ -106,7 +106,7 @@
 		for i, p := range fresh.GetEndpoints() {
 			p.Id = fmt.Sprint("new-", i)
 		}
-		e.Watch.OfferList(fresh, time.Now())
+		e.Watch.UpdateList(fresh, time.Now())
 		e.refresh()
 		if o := <-ended; o != (Answered{}) {
 			t.Errorf("%#v", o)
--- a/rockbarrow/entry/lives_test.go
+++ b/rockbarrow/entry/lives_test.go
@@ -21,7 +21,7 @@
 
 // hear takes over a list.
 func (e *Entry) hear(l *fleetpb.EndpointList) {
-	e.Watch.OfferList(l, time.Now())
+	e.Watch.UpdateList(l, time.Now())
 	e.refresh()
 }
 
--- a/rockbarrow/entry/loads.go
+++ b/rockbarrow/entry/loads.go
@@ -12,18 +12,18 @@
 )
 
 // Uses returns the own calls at endpoints, for other entry instances.
-func (e *Entry) Uses() []watch.Use {
+func (e *Entry) Uses() []watch.EndpointUse {
 	f := e.fleet.Load()
 	if f == nil {
 		return nil
 	}
-	var out []watch.Use
+	var out []watch.EndpointUse
 	for _, p := range f.Used() {
 		u := p.Use()
 		if u == (placement.Use{}) {
 			continue
 		}
-		out = append(out, watch.Use{Life: p.Life(), Running: u.Running, Answered: u.Answered, Failed: u.Failed, Lost: u.Lost})
+		out = append(out, watch.EndpointUse{Life: p.Life(), Running: u.Running, Answered: u.Answered, Failed: u.Failed, Lost: u.Lost})
 	}
 	return out
 }
--- a/rockbarrow/entry/stores_test.go
+++ b/rockbarrow/entry/stores_test.go
@@ -120,7 +120,7 @@
 		watches = append(watches, w)
 	}
 	for _, w := range watches {
-		w.Offer(&fleetpb.State{Number: 1, View: view})
+		w.UpdateState(&fleetpb.State{Number: 1, View: view})
 	}
 	return view
 }
--- a/rockbarrow/entry/updates.go
+++ b/rockbarrow/entry/updates.go
@@ -73,7 +73,7 @@
 		if err == nil {
 			return
 		}
-		var unreached *watch.UnreachedError
+		var unreached *watch.TableFetchError
 		again := errors.As(err, &unreached)
 		if tries == 0 || !again {
 			e.Log.WithError(err).WithField("again", again).Error("a configuration is not in force")
@@ -156,7 +156,7 @@
 	}
 	e.fleet.Store(&fleet{Fleet: next, reading: reading, evacuated: evacuated})
 	e.Log.WithFields(logrus.Fields{
-		"list": reading.List().GetNumber(), "age_ms": time.Since(reading.At()).Milliseconds(),
+		"list": reading.List().GetNumber(), "age_ms": time.Since(reading.ConfirmedAt()).Milliseconds(),
 		"since_news_ms": time.Since(came).Milliseconds(), "evacuated": evacuated,
 	}).Info("a list of endpoints is in force")
 }
@@ -248,7 +248,7 @@
 type fleet struct {
 	// Fleet lacks the endpoints of evacuated failure domains.
 	*placement.Fleet
-	reading *watch.Reading
+	reading *watch.ListSnapshot
 	// evacuated are those failure domains, by name.
 	evacuated []string
 }
--- a/rockbarrow/entry/updates_test.go
+++ b/rockbarrow/entry/updates_test.go
@@ -30,9 +30,9 @@
 		e.Watch.OnChange = e.Wake
 		ctx, cancel := context.WithCancel(context.Background())
 		go e.Run(ctx)
-		e.Watch.Offer(&fleetpb.State{Number: 2, Configuration: &fleetpb.Configuration{Version: 2}, View: &fleetpb.View{Epoch: 1, Copies: 3}})
+		e.Watch.UpdateState(&fleetpb.State{Number: 2, Configuration: &fleetpb.Configuration{Version: 2}, View: &fleetpb.View{Epoch: 1, Copies: 3}})
 		synctest.Wait()
-		e.Watch.OfferList(list(2, "y"), time.Now())
+		e.Watch.UpdateList(list(2, "y"), time.Now())
 		synctest.Wait()
 		if e.fleet.Load().Endpoint("y") != nil {
 			t.Error("a leaving endpoint still gets requests while a configuration is taken in")
@@ -70,9 +70,9 @@
 			fetched = append(fetched, held.Version())
 			switch len(fetched) {
 			case 1:
-				return held, &watch.UnreachedError{Version: version}
+				return held, &watch.TableFetchError{Version: version}
 			case 2:
-				return table(2), &watch.UnreachedError{Version: version}
+				return table(2), &watch.TableFetchError{Version: version}
 			case 3:
 				return table(3), nil
 			}
@@ -80,13 +80,13 @@
 		}
 		ctx, cancel := context.WithCancel(context.Background())
 		go e.Run(ctx)
-		e.Watch.Offer(&fleetpb.State{Number: 2, Configuration: &fleetpb.Configuration{Version: 3}})
+		e.Watch.UpdateState(&fleetpb.State{Number: 2, Configuration: &fleetpb.Configuration{Version: 3}})
 		<-time.After(2*fetchPause + fetchPause/2)
 		synctest.Wait()
 		if v := e.table.Load().Version(); v != 3 || len(fetched) != 3 || fetched[2] != 2 {
 			t.Errorf("version %d is in force after asking with %v", v, fetched)
 		}
-		e.Watch.Offer(&fleetpb.State{Number: 3, Configuration: &fleetpb.Configuration{Version: 4}})
+		e.Watch.UpdateState(&fleetpb.State{Number: 3, Configuration: &fleetpb.Configuration{Version: 4}})
 		<-time.After(10 * fetchPause)
 		synctest.Wait()
 		if v := e.table.Load().Version(); v != 3 || len(fetched) != 4 {
@@ -102,14 +102,14 @@
 	e := newEntry(t, &fakeSender{})
 	e.FetchTable = func(context.Context, *routing.Table, uint64) (*routing.Table, error) {
 		t.Error("a table was asked for that came as a document")
-		return nil, &watch.UnreachedError{}
+		return nil, &watch.TableFetchError{}
 	}
 	e.Decode = func([]byte) (*fleetpb.Document, error) {
 		d := document()
 		d.Version = 2
 		return d, nil
 	}
-	e.Watch.Offer(&fleetpb.State{Number: 2, Configuration: &fleetpb.Configuration{Version: 2, Document: []byte("x")}})
+	e.Watch.UpdateState(&fleetpb.State{Number: 2, Configuration: &fleetpb.Configuration{Version: 2, Document: []byte("x")}})
 	e.refresh()
 	if v := e.table.Load().Version(); v != 2 {
 		t.Errorf("version %d is in force, want 2", v)
--- a/rockbarrow/entry/way_test.go
+++ b/rockbarrow/entry/way_test.go
@@ -36,7 +36,7 @@
 	e.Stores.Pool.Dial = inMemory.dial
 	e.Decode = func([]byte) (*fleetpb.Document, error) { return streams(), nil }
 	e.table.Store(nil)
-	e.Watch.Offer(&fleetpb.State{Number: 2, Configuration: &fleetpb.Configuration{Version: 1}, View: view})
+	e.Watch.UpdateState(&fleetpb.State{Number: 2, Configuration: &fleetpb.Configuration{Version: 1}, View: view})
 	e.refresh()
 	return e
 }
--- a/rockbarrow/stores/group_test.go
+++ b/rockbarrow/stores/group_test.go
@@ -145,7 +145,7 @@
 
 func (g *group) newClient() *stores.Client {
 	w := &watch.Client{Self: &fleetpb.Member{Instance: "entry"}, Log: quiet()}
-	w.Offer(g.state)
+	w.UpdateState(g.state)
 	pool := &dial.Pool{}
 	g.t.Cleanup(pool.Close)
 	return &stores.Client{Watch: w, Pool: pool, Domain: "domain-1", Turns: &stores.Cache{Bytes: 1 << 20}}
@@ -163,9 +163,9 @@
 }
 
 func (g *group) spread() {
-	g.client.Watch.Offer(g.state)
+	g.client.Watch.UpdateState(g.state)
 	for _, p := range g.places {
-		p.watch.Offer(g.state)
+		p.watch.UpdateState(g.state)
 	}
 }
 
--- a/rockbarrow/stores/health_test.go
+++ b/rockbarrow/stores/health_test.go
@@ -27,7 +27,7 @@
 	for i, domain := range []string{"a", "a", "a", "b", "b", "b", "c", "c"} {
 		members = append(members, &fleetpb.Member{Instance: fmt.Sprint("store-", i), Storage: uint64(i + 1), FailureDomain: domain})
 	}
-	c.Watch.Offer(&fleetpb.State{Number: 1, View: &fleetpb.View{Epoch: 1, Members: members, Copies: 5}})
+	c.Watch.UpdateState(&fleetpb.State{Number: 1, View: &fleetpb.View{Epoch: 1, Members: members, Copies: 5}})
 	lose := func(from, to int) {
 		for _, m := range members[from:to] {
 			c.observe(m, errors.New("silent"))
@@ -67,7 +67,7 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	w := &watch.Client{Self: &fleetpb.Member{Instance: "entry"}, Log: logrus.NewEntry(log)}
-	w.Offer(&fleetpb.State{Number: 1, View: &fleetpb.View{Epoch: 1, Copies: 3, Members: members}})
+	w.UpdateState(&fleetpb.State{Number: 1, View: &fleetpb.View{Epoch: 1, Copies: 3, Members: members}})
 	pool := &dial.Pool{}
 	t.Cleanup(pool.Close)
 	c := &Client{Watch: w, Pool: pool, Turns: &Cache{Bytes: 1}}
--- a/rockbarrow/stores/quorum_test.go
+++ b/rockbarrow/stores/quorum_test.go
@@ -56,7 +56,7 @@
 // TestBeforeStoresAreChosenNothingIsReserved: a view without members is an error to who reserves, and no fault.
 func TestBeforeStoresAreChosenNothingIsReserved(t *testing.T) {
 	w := &watch.Client{Self: &fleetpb.Member{Instance: "entry"}, Log: quiet()}
-	w.Offer(&fleetpb.State{Number: 1, View: &fleetpb.View{Epoch: 1, Copies: 3}})
+	w.UpdateState(&fleetpb.State{Number: 1, View: &fleetpb.View{Epoch: 1, Copies: 3}})
 	c := &stores.Client{Watch: w, Pool: &dial.Pool{}, Turns: &stores.Cache{Bytes: 1 << 10}}
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
@@ -134,7 +134,7 @@
 	}
 	until(true)
 	g.change(func(*fleetpb.View) {})
-	c.Watch.Offer(&fleetpb.State{Number: g.state.GetNumber() + 1, View: g.state.GetView(), Voters: []*fleetpb.Member{{Instance: "silent"}}})
+	c.Watch.UpdateState(&fleetpb.State{Number: g.state.GetNumber() + 1, View: g.state.GetView(), Voters: []*fleetpb.Member{{Instance: "silent"}}})
 	g.places[0].stop()
 	g.places[1].stop()
 	until(false)
--- a/rockbarrow/stores/recovery_test.go
+++ b/rockbarrow/stores/recovery_test.go
@@ -70,7 +70,7 @@
 	if _, err := old.Reserve(shortly(t), stores.Turn{ID: "1", Program: "p", Most: 10}); err == nil {
 		t.Error("a call under an older view was taken")
 	}
-	old.Watch.Offer(g.state)
+	old.Watch.UpdateState(g.state)
 	g.must(g.run(old, stores.Turn{ID: "2", Program: "p", Most: 10}, 5))
 }
 
--- a/rockbarrow/stores/sample_test.go
+++ b/rockbarrow/stores/sample_test.go
@@ -24,7 +24,7 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	w := &watch.Client{Self: &fleetpb.Member{Instance: name}, Log: logrus.NewEntry(log)}
-	w.Offer(&fleetpb.State{Number: 1, View: v})
+	w.UpdateState(&fleetpb.State{Number: 1, View: v})
 	return &Client{Watch: w}, v
 }
 
--- a/rockbarrow/watch/follow_test.go
+++ b/rockbarrow/watch/follow_test.go
@@ -162,7 +162,7 @@
 	for i := range 5 {
 		voters = append(voters, &fleetpb.Member{Instance: fmt.Sprint("control-", i)})
 	}
-	c.Offer(&fleetpb.State{Number: 1, Voters: voters})
+	c.UpdateState(&fleetpb.State{Number: 1, Voters: voters})
 	if !c.CutOff() || c.ReachesDomain("domain-4") {
 		t.Error("nobody has answered, and others are reached")
 	}
@@ -208,7 +208,7 @@
 	} {
 		c, control := newTableClient(t), &teller{}
 		target := c.serve(t, control)
-		c.OfferList(known, time.Now())
+		c.UpdateList(known, time.Now())
 		change := catalog.Change(c.List().Version(), next)
 		wrong(change)
 		control.reply = &fleetpb.WatchReply{ListKnown: true, ListNumber: 2, ListChange: change}
@@ -232,7 +232,7 @@
 // TestCallsAreReportedToOneControlInstance: it relays them, so that the others would count them twice.
 func TestCallsAreReportedToOneControlInstance(t *testing.T) {
 	c, near, far := newTableClient(t), &teller{reply: &fleetpb.WatchReply{}}, &teller{reply: &fleetpb.WatchReply{}}
-	c.EndpointUses = func() []Use { return []Use{{Running: 1, Answered: 5}} }
+	c.EndpointUses = func() []EndpointUse { return []EndpointUse{{Running: 1, Answered: 5}} }
 	first, second := c.serve(t, near), c.serve(t, far)
 	second.member = &fleetpb.Member{FailureDomain: "b"}
 	near.reply.Responder, far.reply.Responder = first.member, second.member
--- a/rockbarrow/watch/received.go
+++ b/rockbarrow/watch/received.go
@@ -11,30 +11,30 @@
 	"rockbarrow.dev/schema/fleetpb"
 )
 
-// Reading is the list of endpoints with the time of its newest confirmation.
-type Reading struct {
+// ListSnapshot is the list of endpoints with the time of its newest confirmation.
+type ListSnapshot struct {
 	list *catalog.List
 	at   time.Time
 }
 
 // List returns the list, or nil if there is no reading.
-func (r *Reading) List() *fleetpb.EndpointList {
+func (r *ListSnapshot) List() *fleetpb.EndpointList {
 	return r.Version().List()
 }
 
 // Version returns the list with its checksum, or nil if there is no reading.
-func (r *Reading) Version() *catalog.List {
+func (r *ListSnapshot) Version() *catalog.List {
 	if r == nil {
 		return nil
 	}
 	return r.list
 }
 
-// At returns when the list was last known to be current.
-func (r *Reading) At() time.Time { return r.at }
+// ConfirmedAt returns when the list was last known to be current.
+func (r *ListSnapshot) ConfirmedAt() time.Time { return r.at }
 
-// Offer takes a state learned elsewhere. Older ones change nothing.
-func (c *Client) Offer(s *fleetpb.State) bool {
+// UpdateState takes a state learned elsewhere. Older ones change nothing.
+func (c *Client) UpdateState(s *fleetpb.State) bool {
 	for {
 		old := c.state.Load()
 		if old != nil && s.GetNumber() <= old.GetNumber() {
@@ -52,22 +52,22 @@
 	}
 }
 
-// OfferList takes a reading of the list, which it does not change. Older ones change nothing but the time
+// UpdateList takes a reading of the list, which it does not change. Older ones change nothing but the time
 // of a list already known.
-func (c *Client) OfferList(l *fleetpb.EndpointList, at time.Time) {
+func (c *Client) UpdateList(l *fleetpb.EndpointList, at time.Time) {
 	known := c.list.Load()
 	if known != nil && l.GetNumber() == known.list.Number() {
-		c.OfferVersion(known.list, at)
+		c.UpdateListVersion(known.list, at)
 		return
 	}
-	c.OfferVersion(catalog.New(l).Sharing(known.Version()), at)
+	c.UpdateListVersion(catalog.New(l).Sharing(known.Version()), at)
 }
 
-// OfferVersion is OfferList for a list whose checksum is known.
-func (c *Client) OfferVersion(l *catalog.List, at time.Time) {
+// UpdateListVersion is UpdateList for a list whose checksum is known.
+func (c *Client) UpdateListVersion(l *catalog.List, at time.Time) {
 	for {
 		old := c.list.Load()
-		next := &Reading{list: l, at: at}
+		next := &ListSnapshot{list: l, at: at}
 		if old != nil && l.Number() <= old.list.Number() {
 			if l.Number() < old.list.Number() || !at.After(old.at) {
 				return
@@ -92,14 +92,14 @@
 	}
 }
 
-// Receive takes what a control instance tells of the state and of entry instances.
-func (c *Client) Receive(r *fleetpb.WatchReply) {
+// ApplyReply takes what a control instance tells of the state and of entry instances.
+func (c *Client) ApplyReply(r *fleetpb.WatchReply) {
 	c.entries.Store(max(r.GetEntries(), 1))
 	if counts := r.GetEntryDomains(); len(counts) > 0 {
 		c.domains.Store(&counts)
 	}
 	if r.GetState() != nil {
-		c.Offer(r.GetState())
+		c.UpdateState(r.GetState())
 	}
 }
 
@@ -110,11 +110,11 @@
 	}
 	at := by.Add(-time.Duration(r.GetListAgeMs()) * time.Millisecond)
 	if list != nil {
-		c.OfferVersion(list, at)
+		c.UpdateListVersion(list, at)
 		return
 	}
 	// The age may be that of another list.
 	if known := c.list.Load(); known != nil && known.list.Number() == r.GetListNumber() {
-		c.OfferVersion(known.list, at)
+		c.UpdateListVersion(known.list, at)
 	}
 }
--- a/rockbarrow/watch/table.go
+++ b/rockbarrow/watch/table.go
@@ -22,8 +22,8 @@
 // progress and not on the whole, so that a large table on a slow link comes through.
 const partWithin = 400 * time.Millisecond
 
-// UnreachedError says that no control instance brought a table.
-type UnreachedError struct {
+// TableFetchError says that no control instance brought a table.
+type TableFetchError struct {
 	// Version is the one that was wanted.
 	Version uint64
 	// Cause is the last failure, nil if no control instance is known.
@@ -31,7 +31,7 @@
 }
 
 // Error describes the failure.
-func (e *UnreachedError) Error() string {
+func (e *TableFetchError) Error() string {
 	if e.Cause == nil {
 		return "watch: no control instance is known that could tell the routing table"
 	}
@@ -39,13 +39,13 @@
 }
 
 // Unwrap returns the cause.
-func (e *UnreachedError) Unwrap() error { return e.Cause }
+func (e *TableFetchError) Unwrap() error { return e.Cause }
 
 // FetchTable makes a table of at least a version of the one held, which may be nil, by what
 // control instances tell. With an error it returns how far it came, which may be a newer
-// table than the one held. Errors are of type [*UnreachedError].
+// table than the one held. Errors are of type [*TableFetchError].
 func (c *Client) FetchTable(ctx context.Context, held *routing.Table, version uint64) (*routing.Table, error) {
-	failed := &UnreachedError{Version: version}
+	failed := &TableFetchError{Version: version}
 	for _, t := range c.inOrder(time.Now()) {
 		got, err := t.fetchTable(ctx, held, version)
 		if err != nil && wrongTable(err) {
--- a/rockbarrow/watch/table_test.go
+++ b/rockbarrow/watch/table_test.go
@@ -190,7 +190,7 @@
 func TestATableThatNobodyTells(t *testing.T) {
 	before, _, _, _ := tables(t)
 	for _, c := range []*Client{newTableClient(t), newTableClient(t, &fakeControl{})} {
-		var unreached *UnreachedError
+		var unreached *TableFetchError
 		if got, err := c.FetchTable(t.Context(), before, 2); !errors.As(err, &unreached) || got != before {
 			t.Errorf("version %d, %v", got.Version(), err)
 		}
--- a/rockbarrow/watch/uses.go
+++ b/rockbarrow/watch/uses.go
@@ -11,8 +11,8 @@
 	"rockbarrow.dev/schema/fleetpb"
 )
 
-// Use is the sender's calls at one endpoint since the sender knows it.
-type Use struct {
+// EndpointUse is the sender's calls at one endpoint since the sender knows it.
+type EndpointUse struct {
 	Life life.Life
 	// Running are under way; Answered and Failed have ended.
 	Running, Answered, Failed uint64
@@ -21,10 +21,10 @@
 }
 
 // reported is what control instances have been told of calls: one of them hears of every call once, and relays it.
-type reported map[life.Life]Use
+type reported map[life.Life]EndpointUse
 
 // since returns what is new about uses, and what will have been reported with it.
-func (r reported) since(uses []Use) ([]*fleetpb.EndpointUse, reported) {
+func (r reported) since(uses []EndpointUse) ([]*fleetpb.EndpointUse, reported) {
 	var out []*fleetpb.EndpointUse
 	next := make(reported, len(uses))
 	for _, u := range uses {
@@ -32,7 +32,7 @@
 		before := r.of(u.Life)
 		if before.Answered > u.Answered || before.Failed > u.Failed || before.Lost > u.Lost {
 			// The endpoint's counts began anew.
-			before = Use{}
+			before = EndpointUse{}
 		}
 		n := &fleetpb.EndpointUse{
 			Endpoint: u.Life.ID, BornMs: u.Life.BornMS, Running: uint32(u.Running),
@@ -46,7 +46,7 @@
 }
 
 // of returns what was told of a life, also while its start was not known yet.
-func (r reported) of(l life.Life) Use {
+func (r reported) of(l life.Life) EndpointUse {
 	if u, ok := r[l]; ok {
 		return u
 	}
--- a/rockbarrow/watch/uses_test.go
+++ b/rockbarrow/watch/uses_test.go
@@ -12,7 +12,7 @@
 
 func TestEachCallIsReportedOnce(t *testing.T) {
 	var told reported
-	report := func(uses ...Use) []*fleetpb.EndpointUse {
+	report := func(uses ...EndpointUse) []*fleetpb.EndpointUse {
 		var out []*fleetpb.EndpointUse
 		out, told = told.since(uses)
 		return out
@@ -22,16 +22,16 @@
 	again := life.Life{ID: "e", BornMS: 900}
 	steps := []struct {
 		name string
-		now  Use
+		now  EndpointUse
 		want *fleetpb.EndpointUse
 	}{
-		{"first calls", Use{e, 1, 3, 1, 0}, &fleetpb.EndpointUse{Running: 1, Answered: 3, Failed: 1}},
-		{"one more", Use{e, 0, 4, 1, 0}, &fleetpb.EndpointUse{Answered: 1}},
-		{"nothing new", Use{e, 0, 4, 1, 0}, nil},
-		{"the counts began anew", Use{e, 0, 2, 0, 0}, &fleetpb.EndpointUse{Answered: 2}},
-		{"its start is told", Use{born, 0, 3, 0, 0}, &fleetpb.EndpointUse{Answered: 1}},
-		{"it was lost", Use{born, 0, 3, 0, 2}, &fleetpb.EndpointUse{Lost: 2}},
-		{"it has started again", Use{again, 0, 3, 0, 0}, &fleetpb.EndpointUse{Answered: 3}},
+		{"first calls", EndpointUse{e, 1, 3, 1, 0}, &fleetpb.EndpointUse{Running: 1, Answered: 3, Failed: 1}},
+		{"one more", EndpointUse{e, 0, 4, 1, 0}, &fleetpb.EndpointUse{Answered: 1}},
+		{"nothing new", EndpointUse{e, 0, 4, 1, 0}, nil},
+		{"the counts began anew", EndpointUse{e, 0, 2, 0, 0}, &fleetpb.EndpointUse{Answered: 2}},
+		{"its start is told", EndpointUse{born, 0, 3, 0, 0}, &fleetpb.EndpointUse{Answered: 1}},
+		{"it was lost", EndpointUse{born, 0, 3, 0, 2}, &fleetpb.EndpointUse{Lost: 2}},
+		{"it has started again", EndpointUse{again, 0, 3, 0, 0}, &fleetpb.EndpointUse{Answered: 3}},
 	}
 	for _, s := range steps {
 		got := report(s.now)
--- a/rockbarrow/watch/watch.go
+++ b/rockbarrow/watch/watch.go
@@ -59,7 +59,7 @@
 	OnChange func()
 	// EndpointUses returns the sender's calls at endpoints, and OnLoads is told of those of
 	// other instances; both are nil where the sender has none.
-	EndpointUses func() []Use
+	EndpointUses func() []EndpointUse
 	OnLoads      func(*fleetpb.EndpointLoads)
 	// OnConfirmed is told up to which moment a version of the configuration was known to be the newest; may be
 	// nil.
@@ -82,7 +82,7 @@
 	Lists document.Cache
 
 	state   atomic.Pointer[fleetpb.State]
-	list    atomic.Pointer[Reading]
+	list    atomic.Pointer[ListSnapshot]
 	entries atomic.Uint32
 	domains atomic.Pointer[[]*fleetpb.EntryDomain]
 
@@ -134,10 +134,10 @@
 func (c *Client) State() *fleetpb.State { return c.state.Load() }
 
 // List returns the newest list, or nil before any is known.
-func (c *Client) List() *Reading { return c.list.Load() }
+func (c *Client) List() *ListSnapshot { return c.list.Load() }
 
-// Entries returns how many entry instances there are, at least one.
-func (c *Client) Entries() int { return max(1, int(c.entries.Load())) }
+// EntryCount returns how many entry instances there are, at least one.
+func (c *Client) EntryCount() int { return max(1, int(c.entries.Load())) }
 
 // EntryDomains returns the entry instances of each failure domain, as a control
 // instance counted them last.
@@ -148,8 +148,8 @@
 	return nil
 }
 
-// Control returns the control instances that were heard within a time.
-func (c *Client) Control(within time.Duration) []*fleetpb.Member {
+// ControlInstances returns the control instances that were heard within a time.
+func (c *Client) ControlInstances(within time.Duration) []*fleetpb.Member {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var out []*fleetpb.Member
@@ -208,8 +208,8 @@
 	return false
 }
 
-// Add starts to watch the control instance at an address, if it is a new one.
-func (c *Client) Add(address string) { c.add(address, nil) }
+// AddControlInstance starts to watch the control instance at an address, if it is a new one.
+func (c *Client) AddControlInstance(address string) { c.add(address, nil) }
 
 // add notes a control instance, which may be followed.
 func (c *Client) add(address string, m *fleetpb.Member) {
@@ -235,7 +235,7 @@
 	if back := c.answered(t, r, asked); back {
 		c.Log.WithField("control", t.address).Info("control instance is reached again")
 	}
-	c.Receive(r)
+	c.ApplyReply(r)
 	c.receiveList(r, list, by)
 	if r.GetLoads() != nil && c.OnLoads != nil {
 		c.OnLoads(r.GetLoads())
