--- a/rockbarrow/watch/follow.go
+++ b/rockbarrow/watch/follow.go
@@ -11,57 +11,58 @@
 )
 
 const (
-	// followed is how many control instances an entry or store instance calls, and followedNear how many of them
-	// are in its own failure domain if there are as many. Control instances relay to each other what they hear.
-	followed     = 3
-	followedNear = 2
-	// chooseEvery is how often control instances that did not answer are considered again.
-	chooseEvery = time.Second
-	// firstAvoidance is how long an instance that does not answer gives way to others that may. It doubles up to
-	// longestAvoidance.
-	firstAvoidance   = 2 * time.Second
-	longestAvoidance = 16 * time.Second
+	// maxFollowed is how many control instances an entry or store instance follows,
+	// and maxFollowedLocal how many of them are in its own failure domain if
+	// available. Control instances relay reports to each other.
+	maxFollowed      = 3
+	maxFollowedLocal = 2
+	// selectInterval is how often the choice of followed control instances is revised.
+	selectInterval = time.Second
+	// minBackoff is how long other instances are preferred to one that does not
+	// answer. It doubles up to maxBackoff.
+	minBackoff = 2 * time.Second
+	maxBackoff = 16 * time.Second
 )
 
-// follow begins calls to the control instances that are to be followed, and ends the others. The caller holds mu.
-func (c *Client) follow(now time.Time) {
+// updateFollowed starts loops for the control instances to follow and ends the others. c.mu must be held.
+func (c *Client) updateFollowed(now time.Time) {
 	if c.ctx == nil {
 		return
 	}
-	wanted := c.preferred(now)
+	wanted := c.selectTargets(now)
 	for _, t := range c.targets {
 		t.wanted = slices.Contains(wanted, t)
 		if t.wanted && !t.running {
-			t.running, t.answered, t.lastAnswer, t.state, t.list = true, false, now, 0, 0
+			t.running, t.answered, t.lastAnswer, t.stateNumber, t.listNumber = true, false, now, 0, 0
 			go t.loop(c.ctx)
 		}
 		t.answered = t.answered && t.wanted
 	}
 }
 
-// preferred returns the control instances to follow; the caller holds mu.
-func (c *Client) preferred(now time.Time) []*target {
+// selectTargets returns the control instances to follow. c.mu must be held.
+func (c *Client) selectTargets(now time.Time) []*target {
 	all := make([]*target, 0, len(c.targets))
 	for _, t := range c.targets {
 		all = append(all, t)
 	}
-	if c.followsAll(now) {
+	if c.mustFollowAll(now) {
 		return all
 	}
 	slices.SortFunc(all, func(a, b *target) int {
-		if order := cmp.Compare(a.avoidance(now), b.avoidance(now)); order != 0 {
+		if order := cmp.Compare(a.backoffRemaining(now), b.backoffRemaining(now)); order != 0 {
 			return order
 		}
 		return cmp.Compare(a.rank, b.rank)
 	})
-	near := c.take(all, followedNear, func(t *target) bool { return c.isNear(t) && t.avoidance(now) == 0 })
-	others := c.take(all, followed-len(near), func(t *target) bool { return !slices.Contains(near, t) && !c.isNear(t) })
+	near := c.firstMatching(all, maxFollowedLocal, func(t *target) bool { return c.isLocal(t) && t.backoffRemaining(now) == 0 })
+	others := c.firstMatching(all, maxFollowed-len(near), func(t *target) bool { return !slices.Contains(near, t) && !c.isLocal(t) })
 	out := append(near, others...)
-	return append(out, c.take(all, followed-len(out), func(t *target) bool { return !slices.Contains(out, t) })...)
+	return append(out, c.firstMatching(all, maxFollowed-len(out), func(t *target) bool { return !slices.Contains(out, t) })...)
 }
 
-// take returns the first n targets that fit.
-func (c *Client) take(from []*target, n int, fits func(*target) bool) []*target {
+// firstMatching returns the first n targets for which fits returns true.
+func (c *Client) firstMatching(from []*target, n int, fits func(*target) bool) []*target {
 	var out []*target
 	for _, t := range from {
 		if len(out) < n && fits(t) {
@@ -71,59 +72,61 @@
 	return out
 }
 
-func (c *Client) isNear(t *target) bool {
+func (c *Client) isLocal(t *target) bool {
 	return t.member != nil && t.member.GetFailureDomain() == c.Self.GetFailureDomain()
 }
 
-// followsAll reports whether all control instances are to be called; the caller holds mu.
-func (c *Client) followsAll(now time.Time) bool {
+// mustFollowAll reports whether to follow all control instances. c.mu must be held.
+func (c *Client) mustFollowAll(now time.Time) bool {
 	if c.Role == fleetpb.Role_ROLE_CONTROL || c.FollowAll != nil && c.FollowAll() {
 		return true
 	}
 	for _, t := range c.targets {
-		if t.isFresh(now, silentAfter) && !t.reach.GetAllRelay() {
+		if t.answeredWithin(now, unreachableAfter) && !t.reach.GetAllRelay() {
 			return true
 		}
 	}
 	return false
 }
 
-// AllRelay reports whether all control instances that have answered lately relay what their followers report.
+// AllRelay reports whether all control instances that answered recently relay the reports of their followers.
 func (c *Client) AllRelay() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
 	for _, t := range c.targets {
-		if t.isFresh(now, silentAfter) && t.reach == nil {
+		if t.answeredWithin(now, unreachableAfter) && t.reach == nil {
 			return false
 		}
 	}
 	return true
 }
 
-// avoidance is how much longer a target gives way to others, zero if it does not.
-func (t *target) avoidance(now time.Time) time.Duration { return max(0, t.avoidUntil.Sub(now)) }
+// backoffRemaining returns how much longer other targets are preferred.
+func (t *target) backoffRemaining(now time.Time) time.Duration {
+	return max(0, t.backoffUntil.Sub(now))
+}
 
-// avoid lets a target that does not answer give way; the caller holds the client's mu.
-func (t *target) avoid(now time.Time) {
-	t.avoided = min(max(firstAvoidance, 2*t.avoided), longestAvoidance)
-	t.avoidUntil = now.Add(t.avoided)
+// startBackoff makes other targets preferred for a while. The client's mu must be held.
+func (t *target) startBackoff(now time.Time) {
+	t.backoff = min(max(minBackoff, 2*t.backoff), maxBackoff)
+	t.backoffUntil = now.Add(t.backoff)
 }
 
-// isFresh reports whether a target has answered within a time; the caller holds the client's mu.
-func (t *target) isFresh(now time.Time, within time.Duration) bool {
+// answeredWithin reports whether the target has answered within a duration. The client's mu must be held.
+func (t *target) answeredWithin(now time.Time, within time.Duration) bool {
 	return t.answered && now.Sub(t.lastAnswer) < within
 }
 
-// hasAnswered reports whether the target has answered this loop.
+// hasAnswered reports whether the target has answered since its loop started.
 func (t *target) hasAnswered() bool {
 	t.client.mu.Lock()
 	defer t.client.mu.Unlock()
 	return t.answered
 }
 
-// isFollowed reports whether the target's loop is to go on. If not, another may begin.
-func (t *target) isFollowed() bool {
+// shouldContinue reports whether the target's loop must go on. If not, another loop may be started.
+func (t *target) shouldContinue() bool {
 	c := t.client
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -131,8 +134,9 @@
 	return t.wanted
 }
 
-// note adds a control instance if it is a new one, and reports whether it is; the caller holds mu.
-func (c *Client) note(address string, m *fleetpb.Member) bool {
+// upsertTarget adds a control instance or completes a known one, and reports
+// whether it did either. c.mu must be held.
+func (c *Client) upsertTarget(address string, m *fleetpb.Member) bool {
 	if address == c.Self.GetAddress() || c.ctx == nil {
 		return false
 	}
@@ -141,22 +145,22 @@
 	}
 	now := time.Now()
 	if t := c.targets[address]; t != nil {
-		t.listed = now
+		t.lastListed = now
 		if t.member == nil && m != nil {
 			t.member = m
 			return true
 		}
 		return false
 	}
-	c.targets[address] = &target{client: c, address: address, member: m, listed: now, rank: c.rankOf(address)}
+	c.targets[address] = &target{client: c, address: address, member: m, lastListed: now, rank: c.rankOf(address)}
 	return true
 }
 
-// forget drops the control instances that were taken away: no seeds, and neither heard nor told of for long. The caller
-// holds mu.
-func (c *Client) forget(now time.Time) {
+// expireTargets drops control instances that are not seeds and have neither
+// answered nor been listed for expireAfter. c.mu must be held.
+func (c *Client) expireTargets(now time.Time) {
 	for address, t := range c.targets {
-		if slices.Contains(c.Seeds, address) || now.Sub(t.listed) < forgetAfter || now.Sub(t.lastAnswer) < forgetAfter {
+		if slices.Contains(c.Seeds, address) || now.Sub(t.lastListed) < expireAfter || now.Sub(t.lastAnswer) < expireAfter {
 			continue
 		}
 		t.wanted = false
--- a/rockbarrow/watch/follow_test.go
+++ b/rockbarrow/watch/follow_test.go
@@ -16,9 +16,9 @@
 	"rockbarrow.dev/schema/fleetpb"
 )
 
-// follower is a client that knows n control instances in five failure domains, each of which has answered or not. Its
-// loops end at once.
-func follower(t testing.TB, name string, n int) *Client {
+// newFollowingClient returns a client that knows n control instances in five
+// failure domains. Its context is cancelled, so its loops end at once.
+func newFollowingClient(t testing.TB, name string, n int) *Client {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
@@ -31,19 +31,19 @@
 		Pool: pool, Log: logrus.NewEntry(log), ctx: ctx,
 	}
 	for i := range n {
-		c.add(fmt.Sprint("control-", i), &fleetpb.Member{Instance: fmt.Sprint("control-", i), FailureDomain: fmt.Sprint("domain-", i%5)})
+		c.addTarget(fmt.Sprint("control-", i), &fleetpb.Member{Instance: fmt.Sprint("control-", i), FailureDomain: fmt.Sprint("domain-", i%5)})
 	}
 	return c
 }
 
-// followed returns whom a client follows.
+// followed returns the followed targets and the local ones among them.
 func (c *Client) followed() (all, near []*target) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, t := range c.targets {
 		if t.wanted {
 			all = append(all, t)
-			if c.isNear(t) {
+			if c.isLocal(t) {
 				near = append(near, t)
 			}
 		}
@@ -51,37 +51,37 @@
 	return all, near
 }
 
-// TestAnInstanceCallsAFewControlInstances: each entry and store instance called every control instance several times a
-// second, which grew with the product of their numbers.
+// TestAnInstanceCallsAFewControlInstances guards against calls that grow with the
+// product of the numbers of instances and control instances.
 func TestAnInstanceCallsAFewControlInstances(t *testing.T) {
 	for _, n := range []int{1, 2, 3, 25, 50} {
-		c := follower(t, "entry", n)
+		c := newFollowingClient(t, "entry", n)
 		all, near := c.followed()
-		if want := min(n, followed); len(all) != want {
-			t.Errorf("%d of %d control instances are called, want %d", len(all), n, want)
+		if want := min(n, maxFollowed); len(all) != want {
+			t.Errorf("%d of %d control instances are followed, want %d", len(all), n, want)
 		}
-		if n >= 25 && len(near) != followedNear {
-			t.Errorf("%d of them are in the own failure domain", len(near))
+		if n >= 25 && len(near) != maxFollowedLocal {
+			t.Errorf("%d of them are in the client's failure domain", len(near))
 		}
 		c.Role = fleetpb.Role_ROLE_CONTROL
 		c.mu.Lock()
-		c.follow(time.Now())
+		c.updateFollowed(time.Now())
 		c.mu.Unlock()
 		if all, _ := c.followed(); len(all) != n {
-			t.Errorf("a control instance calls %d of %d others", len(all), n)
+			t.Errorf("a control instance follows %d of %d others", len(all), n)
 		}
 	}
 }
 
-// TestFollowersAreSpread over the control instances: none has many more than its part.
-func TestFollowersAreSpread(t *testing.T) {
+// TestFollowersAreSpreadEvenly guards against control instances with far more followers than the mean.
+func TestFollowersAreSpreadEvenly(t *testing.T) {
 	const instances, controls = 1000, 25
 	count := map[string]int{}
 	for i := range instances {
-		c := follower(t, fmt.Sprint("entry-", i), controls)
+		c := newFollowingClient(t, fmt.Sprint("entry-", i), controls)
 		c.Self.FailureDomain = fmt.Sprint("domain-", i%5)
 		c.mu.Lock()
-		c.follow(time.Now())
+		c.updateFollowed(time.Now())
 		c.mu.Unlock()
 		all, _ := c.followed()
 		for _, t := range all {
@@ -89,185 +89,186 @@
 		}
 	}
 	for address, n := range count {
-		if mean := followed * instances / controls; n > mean*3/2 || n < mean/2 {
-			t.Errorf("%s has %d followers, and the mean is %d", address, n, mean)
+		if mean := maxFollowed * instances / controls; n > mean*3/2 || n < mean/2 {
+			t.Errorf("%s has %d followers, mean is %d", address, n, mean)
 		}
 	}
 }
 
-// TestAControlInstanceThatDoesNotAnswerGivesWay to others, and is tried again.
-func TestAControlInstanceThatDoesNotAnswerGivesWay(t *testing.T) {
-	c := follower(t, "entry", 25)
+// TestUnresponsiveControlInstanceIsReplaced checks that another one is followed, and the first one tried again later.
+func TestUnresponsiveControlInstanceIsReplaced(t *testing.T) {
+	c := newFollowingClient(t, "entry", 25)
 	now := time.Now()
 	all, _ := c.followed()
 	lost := all[0]
 	c.mu.Lock()
-	lost.lastAnswer = now.Add(-2 * silentAfter)
+	lost.lastAnswer = now.Add(-2 * unreachableAfter)
 	c.mu.Unlock()
-	lost.failed(context.DeadlineExceeded)
-	if again, _ := c.followed(); len(again) != followed || lost.wanted {
-		t.Fatalf("%d are called, the lost one: %v", len(again), lost.wanted)
+	lost.handleFailure(context.DeadlineExceeded)
+	if again, _ := c.followed(); len(again) != maxFollowed || lost.wanted {
+		t.Fatalf("%d are followed, the unresponsive one: %v", len(again), lost.wanted)
 	}
 	c.mu.Lock()
-	c.follow(now.Add(firstAvoidance + time.Second))
+	c.updateFollowed(now.Add(minBackoff + time.Second))
 	c.mu.Unlock()
 	if !lost.wanted {
-		t.Error("it is never called again")
+		t.Error("it is not followed again")
 	}
-	// All of the own failure domain are lost: the others are called instead.
+	// With all local instances in backoff, the others are followed instead.
 	c.mu.Lock()
 	for _, o := range c.targets {
-		if c.isNear(o) {
-			o.avoidUntil = now.Add(time.Hour)
+		if c.isLocal(o) {
+			o.backoffUntil = now.Add(time.Hour)
 		}
 	}
-	c.follow(now)
+	c.updateFollowed(now)
 	c.mu.Unlock()
-	if again, near := c.followed(); len(again) != followed || len(near) != 0 {
-		t.Errorf("%d are called, %d of them lost", len(again), len(near))
+	if again, near := c.followed(); len(again) != maxFollowed || len(near) != 0 {
+		t.Errorf("%d are followed, %d of them in backoff", len(again), len(near))
 	}
 }
 
-// TestAllAreCalledWhileOneDoesNotRelay: a control instance of the version before knows only who calls it, and would take
-// stores for lost that call others. Quotas are counted at every control instance.
-func TestAllAreCalledWhileOneDoesNotRelay(t *testing.T) {
-	c := follower(t, "entry", 25)
+// TestAllAreFollowedWhileOneDoesNotRelay guards against an older control instance
+// that takes stores for lost because it hears only its own followers. Quotas also
+// require following all.
+func TestAllAreFollowedWhileOneDoesNotRelay(t *testing.T) {
+	c := newFollowingClient(t, "entry", 25)
 	answer := func(reach *fleetpb.Reach) int {
 		all, _ := c.followed()
-		c.answered(all[0], &fleetpb.WatchReply{Responder: all[0].member, Reach: reach}, time.Now())
+		c.recordAnswer(all[0], &fleetpb.WatchReply{Responder: all[0].member, Reach: reach}, time.Now())
 		all, _ = c.followed()
 		return len(all)
 	}
-	if n := answer(&fleetpb.Reach{AllRelay: true}); n != followed {
-		t.Errorf("%d are called where all relay", n)
+	if n := answer(&fleetpb.Reach{AllRelay: true}); n != maxFollowed {
+		t.Errorf("%d are followed where all relay", n)
 	}
 	if n := answer(&fleetpb.Reach{}); n != 25 {
-		t.Errorf("%d are called where one does not relay", n)
+		t.Errorf("%d are followed where one does not relay", n)
 	}
-	c = follower(t, "entry", 25)
+	c = newFollowingClient(t, "entry", 25)
 	if n := answer(nil); n != 25 {
-		t.Errorf("%d are called where the responder does not relay", n)
+		t.Errorf("%d are followed where the responder does not relay", n)
 	}
-	c = follower(t, "entry", 25)
+	c = newFollowingClient(t, "entry", 25)
 	c.FollowAll = func() bool { return true }
 	if n := answer(&fleetpb.Reach{AllRelay: true}); n != 25 {
-		t.Errorf("%d are called where there are quotas", n)
+		t.Errorf("%d are followed where quotas exist", n)
 	}
 }
 
-// TestACutIsToldByRelays: an instance that calls three of 25 control instances can't count voters itself.
-func TestACutIsToldByRelays(t *testing.T) {
-	c := follower(t, "entry", 25)
+// TestCutOffIsDerivedFromReach checks that the voters are counted through the followed control instances.
+func TestCutOffIsDerivedFromReach(t *testing.T) {
+	c := newFollowingClient(t, "entry", 25)
 	var voters []*fleetpb.Member
 	for i := range 5 {
 		voters = append(voters, &fleetpb.Member{Instance: fmt.Sprint("control-", i)})
 	}
 	c.UpdateState(&fleetpb.State{Number: 1, Voters: voters})
 	if !c.CutOff() || c.ReachesDomain("domain-4") {
-		t.Error("nobody has answered, and others are reached")
+		t.Error("not cut off although no control instance has answered")
 	}
 	_, near := c.followed()
 	reply := &fleetpb.WatchReply{Responder: near[0].member, Reach: &fleetpb.Reach{AllRelay: true, Majority: true, FailureDomains: []string{"domain-4"}}}
-	c.answered(near[0], reply, time.Now())
+	c.recordAnswer(near[0], reply, time.Now())
 	if c.CutOff() || !c.ReachesDomain("domain-4") || c.ReachesDomain("domain-9") {
-		t.Error("a control instance that reaches a majority of the voters answers")
+		t.Error("cut off although a control instance reaches a majority of the voters")
 	}
 	reply.Reach = &fleetpb.Reach{AllRelay: true}
-	c.answered(near[0], reply, time.Now())
+	c.recordAnswer(near[0], reply, time.Now())
 	if !c.CutOff() || c.ReachesDomain("domain-4") {
-		t.Error("the only control instance that answers is cut off itself")
+		t.Error("not cut off although the only control instance that answers is")
 	}
 }
 
-// TestKnownControlInstancesAreNotToldAgain: 25 of them came with each answer, several times a second.
+// TestKnownControlInstancesAreNotToldAgain guards against replies that repeat the known control instances.
 func TestKnownControlInstancesAreNotToldAgain(t *testing.T) {
-	c, control := newTableClient(t), &teller{}
+	c, control := newTestClient(t), &recordingControl{}
 	target := c.serve(t, control)
 	control.reply = &fleetpb.WatchReply{ControlSum: 7, Control: []*fleetpb.Member{{Instance: "o", Address: "o"}}}
 	for _, want := range []uint64{0, 7} {
-		if err := target.watch(t.Context()); err != nil {
+		if err := target.poll(t.Context()); err != nil {
 			t.Fatal(err)
 		}
-		if got := control.asked.GetControlSum(); got != want || !control.asked.GetCompact() {
-			t.Errorf("sum %d is told, want %d", got, want)
+		if got := control.lastRequest.GetControlSum(); got != want || !control.lastRequest.GetCompact() {
+			t.Errorf("request has checksum %d, want %d", got, want)
 		}
 		control.reply = &fleetpb.WatchReply{ControlSum: 7}
 	}
-	if len(target.control) != 1 {
-		t.Error("what was told before is forgotten")
+	if len(target.knownControl) != 1 {
+		t.Error("the known control instances were dropped")
 	}
 }
 
-// TestAWrongListIsAskedForWhole: of another base than the one that was told, or damaged.
-func TestAWrongListIsAskedForWhole(t *testing.T) {
+// TestMismatchedListChangeIsRequestedWhole covers changes with a wrong base or a wrong result.
+func TestMismatchedListChangeIsRequestedWhole(t *testing.T) {
 	known := &fleetpb.EndpointList{Number: 1, Endpoints: []*fleetpb.Endpoint{{Id: "a"}}}
 	next := catalog.New(&fleetpb.EndpointList{Number: 2, Endpoints: []*fleetpb.Endpoint{{Id: "a"}, {Id: "b"}}})
 	for name, wrong := range map[string]func(*fleetpb.ListChange){
 		"base":   func(c *fleetpb.ListChange) { c.BaseSum++ },
 		"result": func(c *fleetpb.ListChange) { c.Sum++ },
 	} {
-		c, control := newTableClient(t), &teller{}
+		c, control := newTestClient(t), &recordingControl{}
 		target := c.serve(t, control)
 		c.UpdateList(known, time.Now())
 		change := catalog.Change(c.List().Version(), next)
 		wrong(change)
 		control.reply = &fleetpb.WatchReply{ListKnown: true, ListNumber: 2, ListChange: change}
-		if err := target.watch(t.Context()); err == nil || c.List().Version().Number() != 1 {
+		if err := target.poll(t.Context()); err == nil || c.List().Version().Number() != 1 {
 			t.Errorf("%s: list %d after a wrong change, %v", name, c.List().Version().Number(), err)
 		}
-		if control.asked.GetListSum() == 0 {
-			t.Errorf("%s: the list that is held was not told", name)
+		if control.lastRequest.GetListSum() == 0 {
+			t.Errorf("%s: the request does not name the held list", name)
 		}
 		whole, err := catalog.Whole(next)
 		if err != nil {
 			t.Fatal(err)
 		}
 		control.reply.ListChange = whole
-		if err := target.watch(t.Context()); err != nil || c.List().Version().Number() != 2 || control.asked.GetListSum() != 0 {
+		if err := target.poll(t.Context()); err != nil || c.List().Version().Number() != 2 || control.lastRequest.GetListSum() != 0 {
 			t.Errorf("%s: list %d, %v", name, c.List().Version().Number(), err)
 		}
 	}
 }
 
-// TestCallsAreReportedToOneControlInstance: it relays them, so that the others would count them twice.
-func TestCallsAreReportedToOneControlInstance(t *testing.T) {
-	c, near, far := newTableClient(t), &teller{reply: &fleetpb.WatchReply{}}, &teller{reply: &fleetpb.WatchReply{}}
+// TestEndpointUsesAreReportedToOneControlInstance guards against uses that are counted twice through relays.
+func TestEndpointUsesAreReportedToOneControlInstance(t *testing.T) {
+	c, near, far := newTestClient(t), &recordingControl{reply: &fleetpb.WatchReply{}}, &recordingControl{reply: &fleetpb.WatchReply{}}
 	c.EndpointUses = func() []EndpointUse { return []EndpointUse{{Running: 1, Answered: 5}} }
 	first, second := c.serve(t, near), c.serve(t, far)
 	second.member = &fleetpb.Member{FailureDomain: "b"}
 	near.reply.Responder, far.reply.Responder = first.member, second.member
 	for _, target := range []*target{first, second} {
-		if err := target.watch(t.Context()); err != nil {
+		if err := target.poll(t.Context()); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if len(near.asked.GetUses()) != 1 || !near.asked.GetWantsLoads() || len(far.asked.GetUses()) != 0 || far.asked.GetWantsLoads() {
-		t.Errorf("%v and %v", near.asked, far.asked)
+	if len(near.lastRequest.GetUses()) != 1 || !near.lastRequest.GetWantsLoads() || len(far.lastRequest.GetUses()) != 0 || far.lastRequest.GetWantsLoads() {
+		t.Errorf("requests %v and %v", near.lastRequest, far.lastRequest)
 	}
-	// The next one is told of what is new only.
+	// The next instance receives only what is new.
 	first.answered = false
-	if err := second.watch(t.Context()); err != nil {
+	if err := second.poll(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	if uses := far.asked.GetUses(); len(uses) != 1 || uses[0].GetRunning() != 1 || uses[0].GetAnswered() != 0 {
-		t.Errorf("%v", uses)
+	if uses := far.lastRequest.GetUses(); len(uses) != 1 || uses[0].GetRunning() != 1 || uses[0].GetAnswered() != 0 {
+		t.Errorf("uses %v", uses)
 	}
 }
 
-// TestControlInstancesThatAreGoneAreForgotten: neither they nor others tell of them any more. Seeds may come back.
-func TestControlInstancesThatAreGoneAreForgotten(t *testing.T) {
-	c := follower(t, "control", 5)
+// TestRemovedControlInstancesExpire checks that only seeds and recently heard or listed instances stay known.
+func TestRemovedControlInstancesExpire(t *testing.T) {
+	c := newFollowingClient(t, "control", 5)
 	c.Role = fleetpb.Role_ROLE_CONTROL
 	c.Seeds = []string{"control-1"}
-	later := time.Now().Add(forgetAfter + time.Second)
+	later := time.Now().Add(expireAfter + time.Second)
 	c.mu.Lock()
-	c.follow(time.Now())
+	c.updateFollowed(time.Now())
 	gone := c.targets["control-2"]
-	c.targets["control-3"].lastAnswer, c.targets["control-4"].listed = later, later
-	c.forget(later)
+	c.targets["control-3"].lastAnswer, c.targets["control-4"].lastListed = later, later
+	c.expireTargets(later)
 	n := len(c.targets)
 	c.mu.Unlock()
-	if n != 3 || gone.isFollowed() {
-		t.Errorf("%d control instances are known, want the seed and two that are heard or told of", n)
+	if n != 3 || gone.shouldContinue() {
+		t.Errorf("%d control instances are known, want the seed and two that are heard or listed", n)
 	}
 }
--- a/rockbarrow/watch/received.go
+++ b/rockbarrow/watch/received.go
@@ -11,18 +11,18 @@
 	"rockbarrow.dev/schema/fleetpb"
 )
 
-// ListSnapshot is the list of endpoints with the time of its newest confirmation.
+// ListSnapshot is a list of endpoints with the time at which it was last confirmed.
 type ListSnapshot struct {
 	list *catalog.List
 	at   time.Time
 }
 
-// List returns the list, or nil if there is no reading.
+// List returns the list, or nil if r is nil.
 func (r *ListSnapshot) List() *fleetpb.EndpointList {
 	return r.Version().List()
 }
 
-// Version returns the list with its checksum, or nil if there is no reading.
+// Version returns the list with its checksum, or nil if r is nil.
 func (r *ListSnapshot) Version() *catalog.List {
 	if r == nil {
 		return nil
@@ -33,7 +33,7 @@
 // ConfirmedAt returns when the list was last known to be current.
 func (r *ListSnapshot) ConfirmedAt() time.Time { return r.at }
 
-// UpdateState takes a state learned elsewhere. Older ones change nothing.
+// UpdateState replaces the current state if s is newer, and reports whether it did.
 func (c *Client) UpdateState(s *fleetpb.State) bool {
 	for {
 		old := c.state.Load()
@@ -46,14 +46,14 @@
 				"state": s.GetNumber(), "config_version": s.GetConfiguration().GetVersion(),
 				"view": s.GetView().GetEpoch(), "stores": len(s.GetView().GetMembers()),
 			}).Info("a newer state is in force")
-			c.changed()
+			c.notifyChange()
 			return true
 		}
 	}
 }
 
-// UpdateList takes a reading of the list, which it does not change. Older ones change nothing but the time
-// of a list already known.
+// UpdateList replaces the current list if l is newer. For the current list it only
+// advances the confirmation time; older lists are ignored. It does not modify l.
 func (c *Client) UpdateList(l *fleetpb.EndpointList, at time.Time) {
 	known := c.list.Load()
 	if known != nil && l.GetNumber() == known.list.Number() {
@@ -63,7 +63,7 @@
 	c.UpdateListVersion(catalog.New(l).Sharing(known.Version()), at)
 }
 
-// UpdateListVersion is UpdateList for a list whose checksum is known.
+// UpdateListVersion is like UpdateList for a list whose checksum is known.
 func (c *Client) UpdateListVersion(l *catalog.List, at time.Time) {
 	for {
 		old := c.list.Load()
@@ -80,31 +80,31 @@
 		if old == nil || next.list != old.list {
 			c.Log.WithFields(logrus.Fields{"list": l.Number(), "endpoints": len(l.List().GetEndpoints())}).
 				Info("a newer list of endpoints is in force")
-			c.changed()
+			c.notifyChange()
 		}
 		return
 	}
 }
 
-func (c *Client) changed() {
+func (c *Client) notifyChange() {
 	if c.OnChange != nil {
 		c.OnChange()
 	}
 }
 
-// ApplyReply takes what a control instance tells of the state and of entry instances.
+// ApplyReply applies a reply's state and its counts of entry instances.
 func (c *Client) ApplyReply(r *fleetpb.WatchReply) {
-	c.entries.Store(max(r.GetEntries(), 1))
+	c.entryCount.Store(max(r.GetEntries(), 1))
 	if counts := r.GetEntryDomains(); len(counts) > 0 {
-		c.domains.Store(&counts)
+		c.entryDomains.Store(&counts)
 	}
 	if r.GetState() != nil {
 		c.UpdateState(r.GetState())
 	}
 }
 
-// receiveList takes a newer list, or the news that the known one was read again.
-func (c *Client) receiveList(r *fleetpb.WatchReply, list *catalog.List, by time.Time) {
+// applyList applies a newer list, or a newer confirmation time of the current one.
+func (c *Client) applyList(r *fleetpb.WatchReply, list *catalog.List, by time.Time) {
 	if !r.GetListKnown() {
 		return
 	}
@@ -113,7 +113,7 @@
 		c.UpdateListVersion(list, at)
 		return
 	}
-	// The age may be that of another list.
+	// The age may belong to another list.
 	if known := c.list.Load(); known != nil && known.list.Number() == r.GetListNumber() {
 		c.UpdateListVersion(known.list, at)
 	}
--- a/rockbarrow/watch/news_test.go
+++ b/rockbarrow/watch/reply_test.go
@@ -10,12 +10,12 @@
 	"rockbarrow.dev/schema/fleetpb"
 )
 
-// unreadable answers with a list and with a state whose base nobody holds.
-type unreadable struct {
+// unreadableControl replies with a valid list and a state whose base the client lacks.
+type unreadableControl struct {
 	fleetpb.UnimplementedControlServer
 }
 
-func (unreadable) Watch(context.Context, *fleetpb.WatchRequest) (*fleetpb.WatchReply, error) {
+func (unreadableControl) Watch(context.Context, *fleetpb.WatchRequest) (*fleetpb.WatchReply, error) {
 	return &fleetpb.WatchReply{
 		StateNumber: 2, ListKnown: true, ListNumber: 7, List: &fleetpb.EndpointList{Number: 7},
 		State: &fleetpb.State{Number: 2, Configuration: &fleetpb.Configuration{
@@ -24,18 +24,18 @@
 	}, nil
 }
 
-// TestAListIsTakenWhateverComesWithIt: a reply whose state was not readable was thrown away
-// whole, and the leaving of an endpoint with it.
+// TestAListIsTakenWhateverComesWithIt guards against losing a list because the
+// state in the same reply cannot be decoded.
 func TestAListIsTakenWhateverComesWithIt(t *testing.T) {
-	c := newTableClient(t)
-	l := c.serve(t, unreadable{})
-	if err := l.watch(t.Context()); err == nil || !l.whole {
-		t.Errorf("%v; the next news are asked for whole: %v", err, l.whole)
+	c := newTestClient(t)
+	l := c.serve(t, unreadableControl{})
+	if err := l.poll(t.Context()); err == nil || !l.needsWhole {
+		t.Errorf("error %v; the next update is requested whole: %v", err, l.needsWhole)
 	}
 	if n := c.List().List().GetNumber(); n != 7 {
 		t.Errorf("list %d is known, want 7", n)
 	}
 	if c.State() != nil {
-		t.Error("a state that is not readable was taken")
+		t.Error("an undecodable state was applied")
 	}
 }
--- a/rockbarrow/watch/table.go
+++ b/rockbarrow/watch/table.go
@@ -15,41 +15,41 @@
 	"rockbarrow.dev/schema/fleetpb"
 )
 
-// partWithin is how long a part of a table may let itself be waited for before another
-// control instance is asked. Parts of 64 KB take 17 ms on a link of 30 Mbit/s, a lost
-// packet 200 ms, and a control instance takes some 0.2 s to make a table of 10,000 routes.
-// One that needs longer goes on meanwhile and is asked again in its turn. The bound is on
-// progress and not on the whole, so that a large table on a slow link comes through.
-const partWithin = 400 * time.Millisecond
+// partTimeout is how long to wait for the next part of a table before asking
+// another control instance. It exceeds the transfer of one part over a slow link
+// plus a retransmission. Progress is bounded rather than the whole transfer, so that
+// a large table on a slow link completes.
+const partTimeout = 400 * time.Millisecond
 
-// TableFetchError says that no control instance brought a table.
+// TableFetchError is returned if no control instance delivered a table.
 type TableFetchError struct {
-	// Version is the one that was wanted.
+	// Version is the requested version.
 	Version uint64
-	// Cause is the last failure, nil if no control instance is known.
+	// Cause is the last error, nil if no control instance is reachable.
 	Cause error
 }
 
 // Error describes the failure.
 func (e *TableFetchError) Error() string {
 	if e.Cause == nil {
-		return "watch: no control instance is known that could tell the routing table"
+		return "watch: no reachable control instance to fetch the routing table from"
 	}
-	return "watch: no control instance told the routing table: " + e.Cause.Error()
+	return "watch: fetch routing table: " + e.Cause.Error()
 }
 
 // Unwrap returns the cause.
 func (e *TableFetchError) Unwrap() error { return e.Cause }
 
-// FetchTable makes a table of at least a version of the one held, which may be nil, by what
-// control instances tell. With an error it returns how far it came, which may be a newer
-// table than the one held. Errors are of type [*TableFetchError].
+// FetchTable fetches a routing table of at least the given version from control
+// instances. Held is the current table and may be nil. On error it returns the
+// newest table that was completed, which may be newer than held. Errors are of type
+// [*TableFetchError].
 func (c *Client) FetchTable(ctx context.Context, held *routing.Table, version uint64) (*routing.Table, error) {
-	failed := &TableFetchError{Version: version}
-	for _, t := range c.inOrder(time.Now()) {
+	fetchErr := &TableFetchError{Version: version}
+	for _, t := range c.tableSources(time.Now()) {
 		got, err := t.fetchTable(ctx, held, version)
-		if err != nil && wrongTable(err) {
-			c.Log.WithError(err).WithField("control", t.address).Warn("a change of the routing table is not readable and is asked for whole")
+		if err != nil && isChangeMismatch(err) {
+			c.Log.WithError(err).WithField("control", t.address).Warn("routing table change cannot be applied, requesting the whole table")
 			got, err = t.fetchTable(ctx, nil, version)
 		}
 		if got.Version() > held.Version() {
@@ -59,23 +59,23 @@
 			return held, nil
 		}
 		c.Log.WithError(err).WithField("control", t.address).Info("no routing table in time")
-		failed.Cause = err
+		fetchErr.Cause = err
 		if ctx.Err() != nil {
 			break
 		}
 	}
-	return held, failed
+	return held, fetchErr
 }
 
-// wrongTable reports whether a change came that can't be applied.
-func wrongTable(err error) bool {
+// isChangeMismatch reports whether a change did not fit the table it was applied to.
+func isChangeMismatch(err error) bool {
 	var base *routing.BaseError
 	var digest *routing.DigestError
 	return errors.As(err, &base) || errors.As(err, &digest)
 }
 
-// inOrder returns the control instances that answer, the one that tells news first.
-func (c *Client) inOrder(now time.Time) []*target {
+// tableSources returns the control instances that answer, the primary first.
+func (c *Client) tableSources(now time.Time) []*target {
 	first := c.primary(now)
 	if first == nil {
 		return nil
@@ -84,14 +84,15 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, t := range c.targets {
-		if t != first && t.answered && now.Sub(t.lastAnswer) < silentAfter {
+		if t != first && t.answered && now.Sub(t.lastAnswer) < unreachableAfter {
 			out = append(out, t)
 		}
 	}
 	return out
 }
 
-// fetchTable asks one control instance. It returns how far it came.
+// fetchTable fetches a table from one control instance. On error it returns the
+// newest table that was completed.
 func (t *target) fetchTable(ctx context.Context, held *routing.Table, version uint64) (*routing.Table, error) {
 	conn, err := t.client.Pool.Get(t.address)
 	if err != nil {
@@ -99,12 +100,12 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	within := t.client.PartTimeout
-	if within == 0 {
-		within = partWithin
+	timeout := t.client.PartTimeout
+	if timeout == 0 {
+		timeout = partTimeout
 	}
-	stalled := time.AfterFunc(within, cancel)
-	defer stalled.Stop()
+	stallTimer := time.AfterFunc(timeout, cancel)
+	defer stallTimer.Stop()
 	req := &fleetpb.TableRequest{Version: version}
 	if held != nil {
 		req.Held = held.Digest()
@@ -113,39 +114,39 @@
 	if err != nil {
 		return held, err
 	}
-	f := &fetch{table: held}
+	f := &tableReader{table: held}
 	for {
 		p, err := stream.Recv()
 		if err == io.EOF {
-			return f.table, f.end(version)
+			return f.table, f.checkComplete(version)
 		}
 		if err != nil {
 			return f.table, err
 		}
-		stalled.Reset(within)
-		if err := f.add(p); err != nil {
+		stallTimer.Reset(timeout)
+		if err := f.addPart(p); err != nil {
 			return f.table, err
 		}
 	}
 }
 
-// fetch makes tables of the parts of a stream.
-type fetch struct {
-	// table is the newest that is whole.
+// tableReader assembles tables from the parts of a stream.
+type tableReader struct {
+	// table is the newest complete table.
 	table *routing.Table
-	// update makes the next one; it is nil between changes.
+	// update builds the next table; nil between changes.
 	update *routing.Update
 }
 
-// add applies a part.
-func (f *fetch) add(p *fleetpb.TablePart) error {
+// addPart applies a part.
+func (f *tableReader) addPart(p *fleetpb.TablePart) error {
 	b, err := document.Decompress(p.GetFrame())
 	if err != nil {
 		return err
 	}
 	change := &fleetpb.TableChange{}
 	if err := proto.Unmarshal(b, change); err != nil {
-		return errors.Wrap(err, "watch: a part of a routing table")
+		return errors.Wrap(err, "watch: decode routing table part")
 	}
 	if f.update == nil {
 		if f.update, err = f.table.Begin(change.GetBase()); err != nil {
@@ -162,13 +163,13 @@
 	return nil
 }
 
-// end returns what is wrong about the end of a stream, if anything is.
-func (f *fetch) end(version uint64) error {
+// checkComplete returns an error if a stream ended early or with an older version.
+func (f *tableReader) checkComplete(version uint64) error {
 	if f.update != nil {
-		return errors.New("watch: a routing table ended before its last part")
+		return errors.New("watch: routing table stream ended before its last part")
 	}
 	if f.table.Version() < version {
-		return errors.Errorf("watch: the routing table of version %d was told where %d is in force", f.table.Version(), version)
+		return errors.Errorf("watch: received routing table version %d, want at least %d", f.table.Version(), version)
 	}
 	return nil
 }
--- a/rockbarrow/watch/table_test.go
+++ b/rockbarrow/watch/table_test.go
@@ -23,7 +23,7 @@
 	"rockbarrow.dev/schema/fleetpb"
 )
 
-// fakeControl streams tables by a script.
+// fakeControl is a control instance that streams tables as scripted.
 type fakeControl struct {
 	fleetpb.UnimplementedControlServer
 	table func(req *fleetpb.TableRequest, stream grpc.ServerStreamingServer[fleetpb.TablePart]) error
@@ -31,24 +31,23 @@
 
 func (c *fakeControl) Table(req *fleetpb.TableRequest, stream grpc.ServerStreamingServer[fleetpb.TablePart]) error {
 	if c.table == nil {
-		return status.Error(codes.Unimplemented, "a control instance of the version before")
+		return status.Error(codes.Unimplemented, "control instance of the previous version")
 	}
 	return c.table(req, stream)
 }
 
-// patient is how long the clients of these tests wait for a part: longer than a busy machine
-// takes for one.
-const patient = 3 * time.Second
+// testPartTimeout tolerates a busy machine.
+const testPartTimeout = 3 * time.Second
 
-// newTableClient returns a client that has heard the control instances of some scripts,
-// the first of which tells news.
-func newTableClient(t *testing.T, scripts ...*fakeControl) *Client {
+// newTestClient returns a client that has heard from a control instance for each
+// script. Only the first one is local and therefore primary.
+func newTestClient(t *testing.T, scripts ...*fakeControl) *Client {
 	t.Helper()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	pool := &dial.Pool{}
 	t.Cleanup(pool.Close)
-	c := &Client{Self: &fleetpb.Member{Instance: "entry", FailureDomain: "a"}, Pool: pool, Log: logrus.NewEntry(log), targets: map[string]*target{}, PartTimeout: patient}
+	c := &Client{Self: &fleetpb.Member{Instance: "entry", FailureDomain: "a"}, Pool: pool, Log: logrus.NewEntry(log), targets: map[string]*target{}, PartTimeout: testPartTimeout}
 	for i, s := range scripts {
 		t := c.serve(t, s)
 		if i > 0 {
@@ -58,7 +57,7 @@
 	return c
 }
 
-// serve starts a control instance in the client's failure domain, which has answered.
+// serve starts a control instance in the client's failure domain and marks it as answering.
 func (c *Client) serve(t *testing.T, s fleetpb.ControlServer) *target {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -68,7 +67,7 @@
 	g := dial.Server()
 	fleetpb.RegisterControlServer(g, s)
 	go func() {
-		// Serve returns an error once the test stops it.
+		// Serve returns an error after the test stops the server.
 		if err := g.Serve(l); err != nil {
 			return
 		}
@@ -82,7 +81,7 @@
 	return c.targets[a]
 }
 
-// tables returns a table and the parts that make the next one of it and of nothing.
+// tables returns two tables, the parts of the change between them and those of the whole second one.
 func tables(t *testing.T) (before, after *routing.Table, change, whole []*fleetpb.TablePart) {
 	t.Helper()
 	d := &fleetpb.Document{Version: 1, Services: []*fleetpb.Service{{Name: "s"}}}
@@ -127,8 +126,8 @@
 	return out
 }
 
-// telling returns a script that sends parts, whole ones to who holds nothing.
-func telling(change, whole []*fleetpb.TablePart) *fakeControl {
+// serveParts returns a script that sends the change, or the whole table if the client holds none.
+func serveParts(change, whole []*fleetpb.TablePart) *fakeControl {
 	return &fakeControl{table: func(req *fleetpb.TableRequest, stream grpc.ServerStreamingServer[fleetpb.TablePart]) error {
 		parts := change
 		if len(req.GetHeld()) == 0 {
@@ -143,20 +142,20 @@
 	}}
 }
 
-// TestATableComesWhateverOneInstanceTells: the control instance that tells news stalls,
-// breaks off, tells nonsense or is of the version before; the table comes all the same.
+// TestATableComesWhateverOneInstanceTells checks that the client falls back to
+// another control instance if the primary stalls, fails, sends a bad table or is older.
 func TestATableComesWhateverOneInstanceTells(t *testing.T) {
 	before, after, change, whole := tables(t)
 	if len(whole) < 3 {
 		t.Fatalf("the table has %d parts", len(whole))
 	}
-	good := telling(change, whole)
+	good := serveParts(change, whole)
 	tests := []struct {
 		name  string
 		first *fakeControl
 	}{
-		{"well", good},
-		{"of the version before", &fakeControl{}},
+		{"succeeds", good},
+		{"previous version", &fakeControl{}},
 		{"stalls before the first part", &fakeControl{table: func(_ *fleetpb.TableRequest, stream grpc.ServerStreamingServer[fleetpb.TablePart]) error {
 			<-stream.Context().Done()
 			return nil
@@ -168,16 +167,16 @@
 			<-stream.Context().Done()
 			return nil
 		}}},
-		{"breaks off midway", telling(change[:len(change)-1], whole[:1])},
-		{"has an older version", telling(nil, nil)},
-		{"has another base", telling(whole[1:], change)},
-		{"leaves a part out", telling(append([]*fleetpb.TablePart{change[0]}, change[2:]...), whole)},
-		{"is not readable", telling([]*fleetpb.TablePart{{Frame: []byte("x")}}, nil)},
+		{"fails midway", serveParts(change[:len(change)-1], whole[:1])},
+		{"sends an older version", serveParts(nil, nil)},
+		{"sends another base", serveParts(whole[1:], change)},
+		{"omits a part", serveParts(append([]*fleetpb.TablePart{change[0]}, change[2:]...), whole)},
+		{"sends garbage", serveParts([]*fleetpb.TablePart{{Frame: []byte("x")}}, nil)},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
-			c := newTableClient(t, test.first, good)
+			c := newTestClient(t, test.first, good)
 			got, err := c.FetchTable(t.Context(), before, 2)
 			if err != nil || !bytes.Equal(got.Digest(), after.Digest()) {
 				t.Errorf("version %d, %v", got.Version(), err)
@@ -186,10 +185,10 @@
 	}
 }
 
-// TestATableThatNobodyTells: the failure is told, and the table held stays.
-func TestATableThatNobodyTells(t *testing.T) {
+// TestFetchTableFailsWithoutSource checks the error and that the held table is returned.
+func TestFetchTableFailsWithoutSource(t *testing.T) {
 	before, _, _, _ := tables(t)
-	for _, c := range []*Client{newTableClient(t), newTableClient(t, &fakeControl{})} {
+	for _, c := range []*Client{newTestClient(t), newTestClient(t, &fakeControl{})} {
 		var unreached *TableFetchError
 		if got, err := c.FetchTable(t.Context(), before, 2); !errors.As(err, &unreached) || got != before {
 			t.Errorf("version %d, %v", got.Version(), err)
@@ -197,16 +196,16 @@
 	}
 }
 
-// TestASlowTableIsNotGivenUp: parts that keep coming are waited for, however long the
-// whole takes. A bound on the whole made a large one be asked for again without end.
+// TestASlowTableIsNotGivenUp guards against a timeout of the whole transfer, which
+// made a large table restart forever on a slow link.
 func TestASlowTableIsNotGivenUp(t *testing.T) {
 	t.Parallel()
 	_, after, _, whole := tables(t)
 	calls := 0
-	c := newTableClient(t, &fakeControl{table: func(_ *fleetpb.TableRequest, stream grpc.ServerStreamingServer[fleetpb.TablePart]) error {
+	c := newTestClient(t, &fakeControl{table: func(_ *fleetpb.TableRequest, stream grpc.ServerStreamingServer[fleetpb.TablePart]) error {
 		calls++
 		for _, p := range whole {
-			pause := time.NewTimer(patient / 3)
+			pause := time.NewTimer(testPartTimeout / 3)
 			<-pause.C
 			if err := stream.Send(p); err != nil {
 				return err
@@ -215,7 +214,7 @@
 		return nil
 	}})
 	if len(whole) < 4 {
-		t.Fatalf("the table has %d parts, which take no longer together than one may", len(whole))
+		t.Fatalf("the table has %d parts, which together take no longer than the timeout of one", len(whole))
 	}
 	got, err := c.FetchTable(t.Context(), nil, 2)
 	if err != nil || !bytes.Equal(got.Digest(), after.Digest()) || calls != 1 {
--- a/rockbarrow/watch/target.go
+++ b/rockbarrow/watch/target.go
@@ -17,46 +17,48 @@
 	"rockbarrow.dev/schema/fleetpb"
 )
 
-// target is one control instance that is watched.
+// target is a known control instance.
 type target struct {
 	client  *Client
 	address string
 	member  *fleetpb.Member
-	// rank orders the control instances, in an order of its own at each instance.
+	// rank orders the control instances; the order differs between clients.
 	rank uint64
-	// listed is when it was told of last.
-	listed time.Time
-	// wanted is true while it is to be followed, and running while its loop runs.
+	// lastListed is when a control instance last named this one.
+	lastListed time.Time
+	// wanted is true if the target should be followed, and running while its loop runs.
 	wanted, running bool
-	// lastAnswer is when it answered last, or when the loop began; answered is true if it has answered this loop.
-	lastAnswer time.Time
-	answered   bool
-	lost       bool
-	// avoidUntil is until when others are preferred, and avoided how long it was avoided last.
-	avoidUntil time.Time
-	avoided    time.Duration
-	// reach is whom it has heard, and control the control instances that it knows.
-	reach      *fleetpb.Reach
-	control    []*fleetpb.Member
-	controlSum uint64
-	// relayed is the sequence that it has acknowledged of what this instance relays.
-	relayed uint64
-	// customers is what it has heard of the sender's requests of customers.
-	customers customersTold
-	// state and list are the newest numbers that it has told of.
-	state, list uint64
-	// whole is true after news from it could not be made whole: the next ones are to
-	// come whole.
-	whole bool
+	// lastAnswer is when it last answered, or when the loop started. answered is
+	// true if it has answered since then.
+	lastAnswer  time.Time
+	answered    bool
+	unreachable bool
+	// backoffUntil is until when other targets are preferred, and backoff the last
+	// backoff's duration.
+	backoffUntil time.Time
+	backoff      time.Duration
+	// reach is what it reports to reach, and knownControl the control instances it knows.
+	reach        *fleetpb.Reach
+	knownControl []*fleetpb.Member
+	controlSum   uint64
+	// relayedSequence is the last sequence number of relayed data that it acknowledged.
+	relayedSequence uint64
+	// customerReport is what it has been told of admitted requests.
+	customerReport customerReport
+	// stateNumber and listNumber are the newest versions that it has reported.
+	stateNumber, listNumber uint64
+	// needsWhole is true after an update from it could not be decoded: the next one
+	// must not be a difference.
+	needsWhole bool
 }
 
-// loop calls one control instance while it is followed.
+// loop polls the control instance while it is followed.
 func (t *target) loop(ctx context.Context) {
-	for ctx.Err() == nil && t.isFollowed() {
+	for ctx.Err() == nil && t.shouldContinue() {
 		asked := time.Now()
-		if err := t.watch(ctx); err != nil {
-			t.failed(err)
-			wait.For(ctx, retryPause+rand.N(retryPause)-time.Since(asked))
+		if err := t.poll(ctx); err != nil {
+			t.handleFailure(err)
+			wait.For(ctx, retryInterval+rand.N(retryInterval)-time.Since(asked))
 		}
 	}
 	if ctx.Err() == nil {
@@ -64,92 +66,92 @@
 	}
 }
 
-// failed logs the loss of an instance once.
-func (t *target) failed(err error) {
+// handleFailure backs off from an unresponsive instance and logs the transition once.
+func (t *target) handleFailure(err error) {
 	c := t.client
 	now := time.Now()
 	c.mu.Lock()
-	silent := now.Sub(t.lastAnswer) > silentAfter
-	lost := silent && !t.lost
-	if silent && t.avoidance(now) == 0 {
-		t.avoid(now)
-		c.follow(now)
+	silent := now.Sub(t.lastAnswer) > unreachableAfter
+	lost := silent && !t.unreachable
+	if silent && t.backoffRemaining(now) == 0 {
+		t.startBackoff(now)
+		c.updateFollowed(now)
 	}
-	t.lost = t.lost || silent
+	t.unreachable = t.unreachable || silent
 	c.mu.Unlock()
 	if lost {
 		c.Log.WithError(err).WithField("control", t.address).Warn("control instance is not reached")
 	}
 }
 
-func (t *target) watch(ctx context.Context) error {
+func (t *target) poll(ctx context.Context) error {
 	c := t.client
 	conn, err := c.Pool.Get(t.address)
 	if err != nil {
 		return err
 	}
-	held := c.LongPollTimeout
-	if held == 0 {
-		held = longPollTimeout
+	maxWait := c.LongPollTimeout
+	if maxWait == 0 {
+		maxWait = longPollTimeout
 	}
 	if c.Role == fleetpb.Role_ROLE_CONTROL && !t.hasAnswered() {
-		// What the other one has accepted is wanted at once: leases rest on it.
-		held = 0
+		// Leases depend on the peer's accepted state, so the first answer must not wait.
+		maxWait = 0
 	}
-	ctx, cancel := context.WithTimeout(ctx, held+answerSlack)
+	ctx, cancel := context.WithTimeout(ctx, maxWait+answerSlack)
 	defer cancel()
 	asked := time.Now()
-	req := c.request(held)
+	req := c.newRequest(maxWait)
 	primary := c.primary(asked)
 	req.WantsNews = primary == nil || primary == t || c.Role == fleetpb.Role_ROLE_CONTROL || t.hasNewer(req)
-	var uses reported
+	var uses reportedUses
 	if c.EndpointUses != nil && primary == t {
 		req.WantsLoads = true
-		req.Uses, uses = c.reportedUses().since(c.EndpointUses())
+		req.Uses, uses = c.lastReported().delta(c.EndpointUses())
 	}
-	t.compact(req)
-	customers := t.customerUses(req)
+	t.addKnownVersions(req)
+	customers := t.addCustomerUses(req)
 	req.Unconfirmed = c.AwaitsConfirmation != nil && c.AwaitsConfirmation()
-	if req.GetWantsNews() && !t.whole {
+	if req.GetWantsNews() && !t.needsWhole {
 		req.Held = c.Documents.Held()
 		if c.Role != fleetpb.Role_ROLE_STORE {
 			req.HeldLists = c.Lists.Held()
 		}
 	}
-	// The call goes out in the moment in which there is a connection.
+	// The call starts as soon as a connection is ready.
 	r, err := fleetpb.NewControlClient(conn).Watch(ctx, req, grpc.WaitForReady(true))
 	if err != nil {
-		t.logMissed(req, err, time.Since(asked))
+		t.logTimeout(req, err, time.Since(asked))
 		return err
 	}
 	if uses != nil {
-		c.usesReported(uses)
+		c.setReported(uses)
 	}
-	t.state, t.list = r.GetStateNumber(), r.GetListNumber()
+	t.stateNumber, t.listNumber = r.GetStateNumber(), r.GetListNumber()
 	size, arrived := 0, time.Now()
 	if r.GetState() != nil || r.GetPackedList() != nil || r.GetListChange() != nil {
 		size = proto.Size(r)
 	}
 	list, unreadable := c.unpack(req, r)
-	t.whole = unreadable != nil
-	if t.whole {
+	t.needsWhole = unreadable != nil
+	if t.needsWhole {
 		c.Log.WithError(unreadable).WithField("control", t.address).Warn("news are not readable and are asked for whole")
 	}
 	t.logUpdate(r, size, arrived.Sub(asked), time.Since(arrived))
-	t.toldCustomers(customers, r.GetProcess())
-	// The age of the list counts from when the answer was given; for a call that
-	// was held that is about now, and a little late is safe.
+	t.recordCustomerUses(customers, r.GetProcess())
+	// The list's age counts from when the answer was sent, which for a call that
+	// was held is close to the end of the wait. An earlier time is safe.
 	by := asked
-	if time.Since(asked) >= held {
-		by = asked.Add(held)
+	if time.Since(asked) >= maxWait {
+		by = asked.Add(maxWait)
 	}
-	c.received(t, r, list, asked, by)
+	c.handleReply(t, r, list, asked, by)
 	return unreadable
 }
 
-// logMissed logs a call that had no answer in its time although news were wanted: the step
-// at which news are late is then the way here, not what is done with them.
-func (t *target) logMissed(req *fleetpb.WatchRequest, err error, took time.Duration) {
+// logTimeout logs a call for updates that got no answer in time. It separates slow
+// delivery from slow processing.
+func (t *target) logTimeout(req *fleetpb.WatchRequest, err error, took time.Duration) {
 	if !req.GetWantsNews() || !t.hasAnswered() {
 		return
 	}
@@ -158,8 +160,8 @@
 	}).Info("no news in time")
 }
 
-// logUpdate logs what the steps of news took until they were whole. Calls are held until
-// there are news, so that call_ms is an upper bound of their way here.
+// logUpdate logs how long an update took to arrive and to decode. Calls wait for
+// updates, so call_ms is an upper bound of the transfer time.
 func (t *target) logUpdate(r *fleetpb.WatchReply, size int, call, unpacked time.Duration) {
 	if r.GetState() == nil && r.GetList() == nil && r.GetListChange() == nil {
 		return
@@ -170,8 +172,9 @@
 	}).Info("news have come")
 }
 
-// unpack makes the state and the list of a reply whole. What is not readable is taken out,
-// and does not keep the other from being taken over. The list is nil if none came that is newer.
+// unpack decodes the state and the list of a reply. If one of them cannot be
+// decoded, it is dropped and the other is still applied. The list is nil if the
+// reply contains no newer one.
 func (c *Client) unpack(req *fleetpb.WatchRequest, r *fleetpb.WatchReply) (*catalog.List, error) {
 	state, unreadableState := c.Documents.UnpackState(r.GetState())
 	r.State = state
@@ -186,7 +189,7 @@
 	known := c.List().Version()
 	switch {
 	case r.GetListChange() != nil:
-		return c.changedList(known, req.GetListSum(), r.GetListChange())
+		return c.applyListChange(known, req.GetListSum(), r.GetListChange())
 	case r.GetPackedList() != nil:
 		l, err := c.Lists.UnpackList(r.GetPackedList())
 		if err != nil {
@@ -199,47 +202,47 @@
 	return nil, nil
 }
 
-// changedList applies a change to the list that is held, unless another control instance was faster. Told is the
-// checksum of the list that was held when the change was asked for.
-func (c *Client) changedList(known *catalog.List, told uint64, change *fleetpb.ListChange) (*catalog.List, error) {
+// applyListChange applies a change to the current list, unless a newer list has
+// arrived already. requestedSum is the checksum of the list that the request named.
+func (c *Client) applyListChange(known *catalog.List, requestedSum uint64, change *fleetpb.ListChange) (*catalog.List, error) {
 	if known != nil && change.GetNumber() <= known.Number() {
 		return nil, nil
 	}
 	next, err := catalog.Apply(known, change)
 	var base *catalog.BaseError
-	if errors.As(err, &base) && base.Want == told {
-		// The list has changed during the call; the next call tells the one that is held now.
-		c.Log.WithError(err).Debug("a change of another list")
+	if errors.As(err, &base) && base.Want == requestedSum {
+		// The list changed during the call; the next request names the current one.
+		c.Log.WithError(err).Debug("list change was made for a superseded list")
 		return nil, nil
 	}
 	return next, err
 }
 
-// compact tells the control instance what it need not send.
-func (t *target) compact(req *fleetpb.WatchRequest) {
+// addKnownVersions adds what the client already holds, so that the reply omits it.
+func (t *target) addKnownVersions(req *fleetpb.WatchRequest) {
 	c := t.client
 	c.mu.Lock()
 	req.Compact, req.ControlSum = true, t.controlSum
-	acknowledged := t.relayed
+	acknowledged := t.relayedSequence
 	c.mu.Unlock()
 	if c.Relayed != nil {
 		req.Relayed = c.Relayed(acknowledged)
 	}
-	if l := c.List(); l != nil && !t.whole {
+	if l := c.List(); l != nil && !t.needsWhole {
 		req.ListSum = l.list.Sum()
 	}
 }
 
-// hasNewer reports whether the instance has told of something newer than what the
-// primary has brought.
+// hasNewer reports whether the instance has reported a newer state or list than
+// the request names.
 func (t *target) hasNewer(req *fleetpb.WatchRequest) bool {
-	return t.state > req.GetStateNumber() || t.client.Role != fleetpb.Role_ROLE_STORE && t.list > req.GetListNumber()
+	return t.stateNumber > req.GetStateNumber() || t.client.Role != fleetpb.Role_ROLE_STORE && t.listNumber > req.GetListNumber()
 }
 
-func (c *Client) request(held time.Duration) *fleetpb.WatchRequest {
+func (c *Client) newRequest(maxWait time.Duration) *fleetpb.WatchRequest {
 	req := &fleetpb.WatchRequest{
 		Sender: c.Self, Role: c.Role,
-		StateNumber: c.State().GetNumber(), WaitMs: uint32(held.Milliseconds()),
+		StateNumber: c.State().GetNumber(), WaitMs: uint32(maxWait.Milliseconds()),
 		WithoutDocument: c.Role != fleetpb.Role_ROLE_CONTROL,
 	}
 	if l := c.List(); l != nil {
--- a/rockbarrow/watch/uses.go
+++ b/rockbarrow/watch/uses.go
@@ -11,27 +11,28 @@
 	"rockbarrow.dev/schema/fleetpb"
 )
 
-// EndpointUse is the sender's calls at one endpoint since the sender knows it.
+// EndpointUse counts the sender's calls at one endpoint since the endpoint became known.
 type EndpointUse struct {
 	Life life.Life
-	// Running are under way; Answered and Failed have ended.
+	// Running calls are in progress; Answered and Failed have ended.
 	Running, Answered, Failed uint64
-	// Lost are calls and connections that ended by no answer.
+	// Lost counts calls and connections that ended without an answer.
 	Lost uint64
 }
 
-// reported is what control instances have been told of calls: one of them hears of every call once, and relays it.
-type reported map[life.Life]EndpointUse
+// reportedUses is what has been reported to control instances. Each call is
+// reported to one of them, which relays it.
+type reportedUses map[life.Life]EndpointUse
 
-// since returns what is new about uses, and what will have been reported with it.
-func (r reported) since(uses []EndpointUse) ([]*fleetpb.EndpointUse, reported) {
+// delta returns the changes since r, and the uses that will have been reported with them.
+func (r reportedUses) delta(uses []EndpointUse) ([]*fleetpb.EndpointUse, reportedUses) {
 	var out []*fleetpb.EndpointUse
-	next := make(reported, len(uses))
+	next := make(reportedUses, len(uses))
 	for _, u := range uses {
 		next[u.Life] = u
-		before := r.of(u.Life)
+		before := r.lookup(u.Life)
 		if before.Answered > u.Answered || before.Failed > u.Failed || before.Lost > u.Lost {
-			// The endpoint's counts began anew.
+			// The endpoint's counters were reset.
 			before = EndpointUse{}
 		}
 		n := &fleetpb.EndpointUse{
@@ -45,38 +46,37 @@
 	return out, next
 }
 
-// of returns what was told of a life, also while its start was not known yet.
-func (r reported) of(l life.Life) EndpointUse {
+// lookup returns the uses reported for an endpoint's life, or those from before its start time was known.
+func (r reportedUses) lookup(l life.Life) EndpointUse {
 	if u, ok := r[l]; ok {
 		return u
 	}
 	return r[life.Life{ID: l.ID}]
 }
 
-// reportedUses returns what has been reported.
-func (c *Client) reportedUses() reported {
+// lastReported returns the uses reported so far.
+func (c *Client) lastReported() reportedUses {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.uses
+	return c.reported
 }
 
-// usesReported notes what has been reported.
-func (c *Client) usesReported(uses reported) {
+// setReported records the uses reported so far.
+func (c *Client) setReported(uses reportedUses) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.uses = uses
+	c.reported = uses
 }
 
-// primary is the control instance that tells news at once, and of the calls of other
-// entry instances: one that answers, in the own failure domain if there is one, since
-// bytes between domains have a price. The others only tell how new their knowledge is,
-// and are asked for what the primary lacks. Instances that have the choice spread.
+// primary returns the control instance that delivers updates and the loads of
+// other entry instances. It prefers the sender's failure domain, as traffic between
+// domains is costly, and then the lowest rank, which spreads the senders.
 func (c *Client) primary(now time.Time) *target {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var best *target
 	for _, t := range c.targets {
-		if t.answered && now.Sub(t.lastAnswer) < silentAfter && (best == nil || c.isPreferred(t, best)) {
+		if t.answered && now.Sub(t.lastAnswer) < unreachableAfter && (best == nil || c.isPreferred(t, best)) {
 			best = t
 		}
 	}
@@ -84,13 +84,13 @@
 }
 
 func (c *Client) isPreferred(t, o *target) bool {
-	if near := c.isNear(t); near != c.isNear(o) {
+	if near := c.isLocal(t); near != c.isLocal(o) {
 		return near
 	}
 	return t.rank < o.rank
 }
 
-// rankOf gives each instance an order of its own of the control instances.
+// rankOf returns the rank of a control instance, which differs between senders.
 func (c *Client) rankOf(address string) uint64 {
 	return xxhash.Sum64String(c.Self.GetInstance() + "\x00" + address)
 }
--- a/rockbarrow/watch/uses_test.go
+++ b/rockbarrow/watch/uses_test.go
@@ -10,11 +10,11 @@
 	"rockbarrow.dev/schema/fleetpb"
 )
 
-func TestEachCallIsReportedOnce(t *testing.T) {
-	var told reported
+func TestEndpointUsesAreReportedOnce(t *testing.T) {
+	var told reportedUses
 	report := func(uses ...EndpointUse) []*fleetpb.EndpointUse {
 		var out []*fleetpb.EndpointUse
-		out, told = told.since(uses)
+		out, told = told.delta(uses)
 		return out
 	}
 	e := life.Life{ID: "e"}
@@ -25,13 +25,13 @@
 		now  EndpointUse
 		want *fleetpb.EndpointUse
 	}{
-		{"first calls", EndpointUse{e, 1, 3, 1, 0}, &fleetpb.EndpointUse{Running: 1, Answered: 3, Failed: 1}},
+		{"first report", EndpointUse{e, 1, 3, 1, 0}, &fleetpb.EndpointUse{Running: 1, Answered: 3, Failed: 1}},
 		{"one more", EndpointUse{e, 0, 4, 1, 0}, &fleetpb.EndpointUse{Answered: 1}},
 		{"nothing new", EndpointUse{e, 0, 4, 1, 0}, nil},
-		{"the counts began anew", EndpointUse{e, 0, 2, 0, 0}, &fleetpb.EndpointUse{Answered: 2}},
-		{"its start is told", EndpointUse{born, 0, 3, 0, 0}, &fleetpb.EndpointUse{Answered: 1}},
-		{"it was lost", EndpointUse{born, 0, 3, 0, 2}, &fleetpb.EndpointUse{Lost: 2}},
-		{"it has started again", EndpointUse{again, 0, 3, 0, 0}, &fleetpb.EndpointUse{Answered: 3}},
+		{"counters reset", EndpointUse{e, 0, 2, 0, 0}, &fleetpb.EndpointUse{Answered: 2}},
+		{"start time becomes known", EndpointUse{born, 0, 3, 0, 0}, &fleetpb.EndpointUse{Answered: 1}},
+		{"connection lost", EndpointUse{born, 0, 3, 0, 2}, &fleetpb.EndpointUse{Lost: 2}},
+		{"endpoint restarted", EndpointUse{again, 0, 3, 0, 0}, &fleetpb.EndpointUse{Answered: 3}},
 	}
 	for _, s := range steps {
 		got := report(s.now)
@@ -47,21 +47,21 @@
 	}
 }
 
-func TestLoadsAreAskedOfANearInstanceThatAnswers(t *testing.T) {
+func TestPrimaryIsLocalAndAnswers(t *testing.T) {
 	now := time.Now()
 	near := &target{address: "9", member: &fleetpb.Member{FailureDomain: "a"}, answered: true, lastAnswer: now}
 	far := &target{address: "1", member: &fleetpb.Member{FailureDomain: "b"}, answered: true, lastAnswer: now}
 	c := &Client{Self: &fleetpb.Member{FailureDomain: "a"}, targets: map[string]*target{"9": near, "1": far}}
 	if c.primary(now) != near {
-		t.Error("the instance in the own failure domain is not asked")
+		t.Error("the primary is not in the client's failure domain")
 	}
-	near.lastAnswer = now.Add(-silentAfter)
+	near.lastAnswer = now.Add(-unreachableAfter)
 	if c.primary(now) != far {
-		t.Error("an instance that is silent is still asked")
+		t.Error("an unresponsive instance is still primary")
 	}
 }
 
-// TestWhatTheTellerLacksIsAskedOfOthers: the teller may be behind or frozen.
+// TestWhatTheTellerLacksIsAskedOfOthers covers a primary that lags behind.
 func TestWhatTheTellerLacksIsAskedOfOthers(t *testing.T) {
 	entry, store := &Client{Role: fleetpb.Role_ROLE_ENTRY}, &Client{Role: fleetpb.Role_ROLE_STORE}
 	known := &fleetpb.WatchRequest{StateNumber: 5, ListNumber: 7}
@@ -71,7 +71,7 @@
 		want        bool
 	}{{entry, 5, 7, false}, {entry, 6, 7, true}, {entry, 5, 8, true}, {store, 5, 8, false}, {store, 6, 0, true}}
 	for _, test := range tests {
-		o := &target{client: test.client, state: test.state, list: test.list}
+		o := &target{client: test.client, stateNumber: test.state, listNumber: test.list}
 		if got := o.hasNewer(known); got != test.want {
 			t.Errorf("state %d, list %d: %v", test.state, test.list, got)
 		}
