--- a/rockbarrow/controller/customers.go
+++ b/rockbarrow/controller/customers.go
@@ -32,15 +32,15 @@
 // not known.
 func (c *Controller) customerCounts(now time.Time) *fleetpb.CustomerCounts {
 	t := c.tables.table()
-	if t.Customers() == 0 {
+	if t.CustomerCount() == 0 {
 		return nil
 	}
-	return &fleetpb.CustomerCounts{Counts: c.quotas.Counts(now, t.CustomerNamed)}
+	return &fleetpb.CustomerCounts{Counts: c.quotas.Counts(now, t.CustomerByName)}
 }
 
 // Admit counts requests of a customer against its quota.
 func (c *Controller) Admit(_ context.Context, req *fleetpb.AdmitRequest) (*fleetpb.AdmitReply, error) {
-	customer := c.tables.table().CustomerNamed(req.GetCustomer())
+	customer := c.tables.table().CustomerByName(req.GetCustomer())
 	if customer == nil {
 		// It is not known here yet, or not any more.
 		return &fleetpb.AdmitReply{Unsure: true}, nil
@@ -65,9 +65,9 @@
 func (c *Controller) Customers(context.Context, *fleetpb.CustomersRequest) (*fleetpb.CustomersReply, error) {
 	now, t := time.Now(), c.tables.table()
 	out := &fleetpb.CustomersReply{Version: t.Version()}
-	t.EachCustomer(func(h routing.Held) bool {
+	t.EachCustomer(func(h routing.CustomerKeys) bool {
 		if len(out.Customers) == mostTold {
-			out.LeftOut = uint32(t.Customers() - mostTold)
+			out.LeftOut = uint32(t.CustomerCount() - mostTold)
 			return false
 		}
 		u := c.quotas.Usage(now, h.Customer)
--- a/rockbarrow/controller/customers_test.go
+++ b/rockbarrow/controller/customers_test.go
@@ -67,7 +67,9 @@
 func TestRepliesTellWhatLeasesAndQuotasRestOn(t *testing.T) {
 	p := newCore(t)[0]
 	put(t, p, 1, keyedDocument(t, 1))
-	await(t, func() bool { return p.controller.RoutingTable().Customers() == 2 && p.controller.Endpoints() != nil })
+	await(t, func() bool {
+		return p.controller.RoutingTable().CustomerCount() == 2 && p.controller.Endpoints() != nil
+	})
 	watch := func(p *place) *fleetpb.WatchReply {
 		r, err := p.controller.Watch(t.Context(), &fleetpb.WatchRequest{Sender: &fleetpb.Member{Instance: "entry"}, Role: fleetpb.Role_ROLE_ENTRY, WantsLoads: true})
 		if err != nil {
@@ -100,7 +102,7 @@
 	p.controller.quotas.Terms = quota.Terms{Window: 1024 * time.Second}
 	p.controller.quotas.Begin(time.Now().Add(-time.Hour))
 	put(t, p, 1, keyedDocument(t, 1))
-	await(t, func() bool { return p.controller.RoutingTable().Customers() == 2 })
+	await(t, func() bool { return p.controller.RoutingTable().CustomerCount() == 2 })
 	now := time.Now()
 	for i, heard := range []time.Time{now, now, now, now.Add(-5 * time.Second)} {
 		p.controller.presence.receive(heard, &fleetpb.WatchRequest{Sender: &fleetpb.Member{Instance: fmt.Sprint("entry-", i), FailureDomain: "a"}, Role: fleetpb.Role_ROLE_ENTRY, Serves: true})
@@ -125,7 +127,7 @@
 // keyedDocument is a configuration with a customer that may make ten requests within the window.
 func keyedDocument(t *testing.T, version uint64) string {
 	t.Helper()
-	k := routing.KeyOf("secret")
+	k := routing.DigestKey("secret")
 	b, err := proto.Marshal(&fleetpb.Document{Version: version, Customers: []*fleetpb.Customer{
 		{Name: "a", Keys: [][]byte{k[:]}, RequestsPerSecond: 8.0 / 1024, Burst: 2}, {Name: "b"},
 	}})
@@ -141,7 +143,7 @@
 	p.controller.quotas.Terms = quota.Terms{Window: 1024 * time.Second}
 	p.controller.quotas.Begin(time.Now().Add(-time.Hour))
 	put(t, p, 1, keyedDocument(t, 1))
-	await(t, func() bool { return p.controller.RoutingTable().Customers() == 2 })
+	await(t, func() bool { return p.controller.RoutingTable().CustomerCount() == 2 })
 	admit := func(customer string) *fleetpb.AdmitReply {
 		r, err := p.controller.Admit(t.Context(), &fleetpb.AdmitRequest{Customer: customer, Requests: 1})
 		if err != nil {
--- a/rockbarrow/controller/tables.go
+++ b/rockbarrow/controller/tables.go
@@ -105,7 +105,7 @@
 	t.made = make(chan struct{})
 	t.mu.Unlock()
 	t.controller.Log.WithFields(logrus.Fields{
-		"config_version": table.Version(), "routes": table.Routes(), "changed": len(change.GetRoutes()) + len(change.GetRemovedRoutes()),
+		"config_version": table.Version(), "routes": table.RouteCount(), "changed": len(change.GetRoutes()) + len(change.GetRemovedRoutes()),
 		"took_ms": time.Since(begun).Milliseconds(),
 	}).Info("the routing table of a configuration is made")
 }
@@ -115,7 +115,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	return before.Next(d)
+	return before.ApplyDocument(d)
 }
 
 // table returns the newest table, or nil before there is one.
@@ -154,7 +154,7 @@
 // whole returns the parts of the whole table.
 func (m *madeTable) whole() ([]*fleetpb.TablePart, error) {
 	m.once.Do(func() {
-		change, err := m.Whole()
+		change, err := m.Snapshot()
 		if err != nil {
 			m.err = err
 			return
@@ -167,7 +167,7 @@
 // pack compresses the parts of a change, once for all receivers.
 func pack(change *fleetpb.TableChange) ([]*fleetpb.TablePart, error) {
 	var out []*fleetpb.TablePart
-	for _, part := range routing.Parts(change) {
+	for _, part := range routing.SplitChange(change) {
 		b, err := proto.Marshal(part)
 		if err != nil {
 			return nil, err
--- a/rockbarrow/controller/tables_test.go
+++ b/rockbarrow/controller/tables_test.go
@@ -103,15 +103,15 @@
 		t.Errorf("an entry instance was told a document of %d bytes", len(d))
 	}
 	first := fetch(t, w, nil, 1)
-	if first.Routes() != routes {
-		t.Fatalf("%d routes", first.Routes())
+	if first.RouteCount() != routes {
+		t.Fatalf("%d routes", first.RouteCount())
 	}
 	held := first
 	for v := uint64(2); v < 6; v++ {
 		put(t, core[0], v, string(configuration(t, v, routes+int(v))))
 		awaitVersion(t, w, v)
-		if held = fetch(t, w, held, v); held.Version() != v || held.Routes() != routes+int(v) {
-			t.Fatalf("version %d with %d routes", held.Version(), held.Routes())
+		if held = fetch(t, w, held, v); held.Version() != v || held.RouteCount() != routes+int(v) {
+			t.Fatalf("version %d with %d routes", held.Version(), held.RouteCount())
 		}
 	}
 	c := core[0].controller
--- a/rockbarrow/entry/customer.go
+++ b/rockbarrow/entry/customer.go
@@ -15,13 +15,13 @@
 const confirmedWithin = 1500 * time.Millisecond
 
 // HasCustomers reports whether the configuration in force has customers, whose quotas every control instance counts.
-func (e *Entry) HasCustomers() bool { return e.table.Load().Customers() > 0 }
+func (e *Entry) HasCustomers() bool { return e.table.Load().CustomerCount() > 0 }
 
 // identify finds out whose request it is. It returns what the client hears if the request may not go on.
 func (x *exchange) identify() Outcome {
 	now := time.Now()
 	if x.request.HasKey {
-		x.customer, _ = x.table.Customer(x.request.Key)
+		x.customer, _ = x.table.CustomerByKey(x.request.Key)
 	}
 	switch {
 	case !x.route.GetKeyed():
@@ -46,7 +46,7 @@
 		return true
 	}
 	t := e.table.Load()
-	c, ok := t.Customer(x.request.Key)
+	c, ok := t.CustomerByKey(x.request.Key)
 	return ok && c.GetName() == x.customer.GetName() && e.Lease.Holds(now, t.Version())
 }
 
--- a/rockbarrow/entry/customer_test.go
+++ b/rockbarrow/entry/customer_test.go
@@ -27,7 +27,7 @@
 		r.Keyed, r.Priority = true, 1
 	}
 	for _, name := range []string{"a", "b"} {
-		k := routing.KeyOf("k" + name)
+		k := routing.DigestKey("k" + name)
 		d.Customers = append(d.Customers, &fleetpb.Customer{Name: name, Keys: [][]byte{k[:]}, Priority: 2})
 	}
 	return d
@@ -73,7 +73,7 @@
 func askAs(secret, path string) *Request {
 	r := ask(path)
 	if secret != "" {
-		r.Key, r.HasKey = routing.KeyOf(secret), true
+		r.Key, r.HasKey = routing.DigestKey(secret), true
 	}
 	return r
 }
@@ -126,7 +126,7 @@
 			t.Errorf("%s: %d offers", test.name, len(s.offers))
 		}
 		for _, offer := range s.offers {
-			if want := (&exchange{customer: table(t, keyed(2)).CustomerNamed(test.customer), route: keyed(2).Routes[offerRoute(test.path)]}).endpointPriority(); offer.Priority != want {
+			if want := (&exchange{customer: table(t, keyed(2)).CustomerByName(test.customer), route: keyed(2).Routes[offerRoute(test.path)]}).endpointPriority(); offer.Priority != want {
 				t.Errorf("%s: offered with priority %d, want %d", test.name, offer.Priority, want)
 			}
 			if offer.Customer != test.customer || !offer.HideKey {
@@ -355,7 +355,7 @@
 			e.take(t, d)
 			e.Lease = &lease.Lease{}
 			r := turnOf("k", id, "p", 1000)
-			r.Key, r.HasKey, r.Previous = routing.KeyOf(secret), true, previous
+			r.Key, r.HasKey, r.Previous = routing.DigestKey(secret), true, previous
 			out := &fakeOut{}
 			return statusOf(e.Serve(t.Context(), r, out), out)
 		}
--- a/rockbarrow/entry/entry.go
+++ b/rockbarrow/entry/entry.go
@@ -183,7 +183,7 @@
 		return e.ended(&exchange{entry: e, request: req, table: t}, Refused{Status: http.StatusNotFound, Reason: "no route"})
 	}
 	x := &exchange{entry: e, request: req, table: t, route: route, out: out}
-	x.service = t.Service(routing.Split(route, x.splitKey()))
+	x.service = t.Service(routing.PickService(route, x.splitKey()))
 	x.deadline = req.Arrived.Add(time.Duration(route.GetTimeoutMs()) * time.Millisecond)
 	if req.Wait > 0 && req.Arrived.Add(req.Wait).Before(x.deadline) {
 		x.deadline = req.Arrived.Add(req.Wait)
@@ -215,7 +215,7 @@
 // learned reports whether a configuration and a list are in force, and whether its keys may be trusted if it has any.
 func (e *Entry) learned() bool {
 	t := e.table.Load()
-	return t != nil && e.fleet.Load() != nil && !(t.Customers() > 0 && e.Lease.Unconfirmed())
+	return t != nil && e.fleet.Load() != nil && !(t.CustomerCount() > 0 && e.Lease.Unconfirmed())
 }
 
 // awaitLearned waits a little for the first configuration and list, and for the first confirmation of keys.
--- a/rockbarrow/entry/exchange.go
+++ b/rockbarrow/entry/exchange.go
@@ -178,7 +178,7 @@
 		Request: x.request, Body: x.body, Endpoint: p.Config(), Life: x.endpoint, Deadline: x.deadline,
 		Priority: x.endpointPriority(), Connections: x.connections(),
 		Stream: x.way.streamed, After: x.events.last,
-		Customer: x.customer.GetName(), HideKey: x.table.Customers() > 0 || x.route.GetKeyed(),
+		Customer: x.customer.GetName(), HideKey: x.table.CustomerCount() > 0 || x.route.GetKeyed(),
 	})
 	done := func(r placement.Result) { p.Done(time.Now(), r) }
 	unreached := x.tell(p, err)
--- a/rockbarrow/entry/ports.go
+++ b/rockbarrow/entry/ports.go
@@ -46,7 +46,7 @@
 	// Affinity names the object that the request is about, or is "".
 	Affinity string
 	// Key is the digest of the customer's key, where HasKey says that there is one.
-	Key    routing.Key
+	Key    routing.KeyDigest
 	HasKey bool
 }
 
--- a/rockbarrow/entry/updates.go
+++ b/rockbarrow/entry/updates.go
@@ -109,7 +109,7 @@
 	if t.Version() > old.Version() {
 		e.table.Store(t)
 		e.Log.WithFields(logrus.Fields{
-			"config_version": t.Version(), "routes": t.Routes(),
+			"config_version": t.Version(), "routes": t.RouteCount(),
 			"since_news_ms": time.Since(came).Milliseconds(), "took_ms": time.Since(begun).Milliseconds(),
 		}).Info("a configuration is in force")
 	}
@@ -126,7 +126,7 @@
 	if err != nil {
 		return old, err
 	}
-	t, _, err := old.Next(d)
+	t, _, err := old.ApplyDocument(d)
 	if err != nil {
 		return old, err
 	}
--- a/rockbarrow/routing/customer_change.go
+++ b/rockbarrow/routing/customer_change.go
@@ -17,7 +17,7 @@
 // takeCustomers checks the customers of a document and notes what changes about them. Keys that are taken
 // away come before keys that are added, since a key may move to another customer.
 func (n *next) takeCustomers(list []*fleetpb.Customer) error {
-	holders := map[Key]string{}
+	holders := map[KeyDigest]string{}
 	for _, c := range list {
 		if err := n.checkCustomer(c, holders); err != nil {
 			return err
@@ -32,7 +32,7 @@
 		}
 	}
 	removed := keyLists{}
-	n.before.customers.keys.each(func(k Key, slot uint32) {
+	n.before.customers.keys.each(func(k KeyDigest, slot uint32) {
 		if holder := n.before.customers.slots.name(slot); holders[k] != holder {
 			removed[holder] = append(removed[holder], k[:]...)
 		}
@@ -40,7 +40,7 @@
 	added := keyLists{}
 	for _, c := range list {
 		for _, raw := range c.GetKeys() {
-			k := Key(raw)
+			k := KeyDigest(raw)
 			if slot, ok := n.before.customers.keys.find(k); !ok || n.before.customers.slots.name(slot) != c.GetName() {
 				added[c.GetName()] = append(added[c.GetName()], raw...)
 			}
@@ -56,7 +56,7 @@
 }
 
 // checkCustomer reports what makes a customer invalid, and notes its keys.
-func (n *next) checkCustomer(c *fleetpb.Customer, holders map[Key]string) error {
+func (n *next) checkCustomer(c *fleetpb.Customer, holders map[KeyDigest]string) error {
 	invalid := func(reason string) error { return &InvalidError{Customer: c.GetName(), Reason: reason} }
 	switch {
 	case c.GetName() == "":
@@ -73,10 +73,10 @@
 		if len(raw) != keySize {
 			return invalid(fmt.Sprintf("its key number %d is empty", i+1))
 		}
-		if other, ok := holders[Key(raw)]; ok {
+		if other, ok := holders[KeyDigest(raw)]; ok {
 			return invalid(fmt.Sprintf("its key number %d is also held by customer %q", i+1, other))
 		}
-		holders[Key(raw)] = c.GetName()
+		holders[KeyDigest(raw)] = c.GetName()
 	}
 	return nil
 }
@@ -145,7 +145,7 @@
 		c.Customers = append(c.Customers, raw)
 	}
 	added := keyLists{}
-	t.customers.keys.each(func(k Key, slot uint32) {
+	t.customers.keys.each(func(k KeyDigest, slot uint32) {
 		name := t.customers.slots.name(slot)
 		added[name] = append(added[name], k[:]...)
 	})
--- a/rockbarrow/routing/customers.go
+++ b/rockbarrow/routing/customers.go
@@ -33,8 +33,8 @@
 	return []sum{c.byName.sum, c.keys.sum}
 }
 
-// Customer returns who holds a key.
-func (t *Table) Customer(k Key) (c *fleetpb.Customer, ok bool) {
+// CustomerByKey returns who holds a key.
+func (t *Table) CustomerByKey(k KeyDigest) (c *fleetpb.Customer, ok bool) {
 	slot, ok := t.customers.keys.find(k)
 	if !ok {
 		return nil, false
@@ -42,8 +42,8 @@
 	return t.customers.slots[slot], true
 }
 
-// CustomerNamed returns a customer by name, or nil.
-func (t *Table) CustomerNamed(name string) *fleetpb.Customer {
+// CustomerByName returns a customer by name, or nil.
+func (t *Table) CustomerByName(name string) *fleetpb.Customer {
 	t = t.orEmpty()
 	slot, ok := t.customers.byName.get([]byte(name))
 	if !ok {
@@ -52,26 +52,26 @@
 	return t.customers.slots[slot]
 }
 
-// Customers returns the number of customers.
-func (t *Table) Customers() int { return t.orEmpty().customers.byName.tree.Len() }
+// CustomerCount returns the number of customers.
+func (t *Table) CustomerCount() int { return t.orEmpty().customers.byName.tree.Len() }
 
-// Keys returns the number of keys.
-func (t *Table) Keys() int { return t.orEmpty().customers.keys.len }
+// KeyCount returns the number of keys.
+func (t *Table) KeyCount() int { return t.orEmpty().customers.keys.len }
 
-// Held is a customer with the digests of its keys.
-type Held struct {
+// CustomerKeys is a customer with the digests of its keys.
+type CustomerKeys struct {
 	*fleetpb.Customer
-	Digests []Key
+	Digests []KeyDigest
 }
 
 // EachCustomer calls f with all customers in the order of their names, until it returns false. The work goes with the
 // number of all keys.
-func (t *Table) EachCustomer(f func(Held) bool) {
+func (t *Table) EachCustomer(f func(CustomerKeys) bool) {
 	t = t.orEmpty()
-	digests := make([][]Key, len(t.customers.slots))
-	t.customers.keys.each(func(k Key, slot uint32) { digests[slot] = append(digests[slot], k) })
+	digests := make([][]KeyDigest, len(t.customers.slots))
+	t.customers.keys.each(func(k KeyDigest, slot uint32) { digests[slot] = append(digests[slot], k) })
 	t.customers.byName.each(func(_ []byte, slot uint32) bool {
-		return f(Held{Customer: t.customers.slots[slot], Digests: digests[slot]})
+		return f(CustomerKeys{Customer: t.customers.slots[slot], Digests: digests[slot]})
 	})
 }
 
@@ -157,10 +157,10 @@
 		return errors.Errorf("routing: keys of customer %q are cut off", c.GetCustomer())
 	}
 	for b := c.GetRemoved(); len(b) > 0; b = b[keySize:] {
-		d.keys.remove(Key(b[:keySize]), slot, d.slots)
+		d.keys.remove(KeyDigest(b[:keySize]), slot, d.slots)
 	}
 	for b := c.GetAdded(); len(b) > 0; b = b[keySize:] {
-		d.keys.put(Key(b[:keySize]), slot, d.slots)
+		d.keys.put(KeyDigest(b[:keySize]), slot, d.slots)
 	}
 	return nil
 }
--- a/rockbarrow/routing/customers_test.go
+++ b/rockbarrow/routing/customers_test.go
@@ -20,7 +20,7 @@
 func customer(name string, secrets ...string) *fleetpb.Customer {
 	c := &fleetpb.Customer{Name: name, RequestsPerSecond: 10, Burst: 5}
 	for _, s := range secrets {
-		k := KeyOf(s)
+		k := DigestKey(s)
 		c.Keys = append(c.Keys, k[:])
 	}
 	return c
@@ -34,7 +34,7 @@
 			d.Customers = append(d.Customers, customer(fmt.Sprintf("c%d", i/10)))
 		}
 		c := d.Customers[len(d.Customers)-1]
-		k := KeyOf(fmt.Sprintf("key%d", i))
+		k := DigestKey(fmt.Sprintf("key%d", i))
 		c.Keys = append(c.Keys, k[:])
 	}
 	return d
@@ -43,7 +43,7 @@
 // changedCustomers adds, alters and takes away customers and keys in a few drawn places; keys also move.
 func changedCustomers(r *rand.Rand, d *fleetpb.Document) {
 	secret := func() string { return fmt.Sprintf("key%d", r.IntN(60)) }
-	held := func(k Key) bool {
+	held := func(k KeyDigest) bool {
 		return slices.ContainsFunc(d.Customers, func(c *fleetpb.Customer) bool {
 			return slices.ContainsFunc(c.Keys, func(o []byte) bool { return bytes.Equal(o, k[:]) })
 		})
@@ -64,7 +64,7 @@
 		case 1:
 			c.Priority, c.RequestsPerSecond = r.Uint32N(3), float64(r.IntN(9))
 		default:
-			if k := KeyOf(secret()); !held(k) {
+			if k := DigestKey(secret()); !held(k) {
 				c.Keys = append(c.Keys, k[:])
 			}
 		}
@@ -99,7 +99,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			whole, err := next.Whole()
+			whole, err := next.Snapshot()
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -117,21 +117,21 @@
 
 func compareCustomers(t *testing.T, d *fleetpb.Document, got, fresh *Table) {
 	t.Helper()
-	if !bytes.Equal(got.Digest(), fresh.Digest()) || got.Keys() != fresh.Keys() || got.Customers() != len(d.GetCustomers()) {
+	if !bytes.Equal(got.Digest(), fresh.Digest()) || got.KeyCount() != fresh.KeyCount() || got.CustomerCount() != len(d.GetCustomers()) {
 		t.Fatalf("version %d: tables differ", d.GetVersion())
 	}
-	holder := map[Key]string{}
+	holder := map[KeyDigest]string{}
 	for _, c := range d.GetCustomers() {
 		for _, raw := range c.GetKeys() {
-			holder[Key(raw)] = c.GetName()
+			holder[KeyDigest(raw)] = c.GetName()
 		}
-		if named := got.CustomerNamed(c.GetName()); named.GetPriority() != c.GetPriority() || named.GetRequestsPerSecond() != c.GetRequestsPerSecond() {
+		if named := got.CustomerByName(c.GetName()); named.GetPriority() != c.GetPriority() || named.GetRequestsPerSecond() != c.GetRequestsPerSecond() {
 			t.Fatalf("customer %v, want %v", named, c)
 		}
 	}
 	for i := range 60 {
-		k := KeyOf(fmt.Sprintf("key%d", i))
-		c, ok := got.Customer(k)
+		k := DigestKey(fmt.Sprintf("key%d", i))
+		c, ok := got.CustomerByKey(k)
 		if c.GetName() != holder[k] || ok != (holder[k] != "") {
 			t.Fatalf("version %d: key %d is held by %q, want %q", d.GetVersion(), i, c.GetName(), holder[k])
 		}
@@ -169,12 +169,12 @@
 
 // TestKeysOfAnUnknownCustomerAreNotApplied: a change that does not fit is noticed.
 func TestKeysOfAnUnknownCustomerAreNotApplied(t *testing.T) {
-	k := KeyOf("one")
+	k := DigestKey("one")
 	for name, c := range map[string]*fleetpb.KeyChange{
 		"an unknown customer": {Customer: "nobody", Added: k[:]},
 		"half a key":          {Customer: "a", Added: k[:5]},
 	} {
-		u, err := (*Table)(nil).Begin(nil)
+		u, err := (*Table)(nil).BeginUpdate(nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -182,7 +182,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if out, err := u.Add(&fleetpb.TableChange{Customers: [][]byte{raw}, Keys: []*fleetpb.KeyChange{c}, Version: 1, Digest: []byte("x")}); err == nil {
+		if out, err := u.AddPart(&fleetpb.TableChange{Customers: [][]byte{raw}, Keys: []*fleetpb.KeyChange{c}, Version: 1, Digest: []byte("x")}); err == nil {
 			t.Errorf("%s: %v", name, out)
 		}
 	}
@@ -190,11 +190,11 @@
 
 // TestManyKeysComeInParts: no part is much larger than what a slow link carries in some ten milliseconds.
 func TestManyKeysComeInParts(t *testing.T) {
-	table, change, err := (*Table)(nil).Next(manyCustomers(30_000))
+	table, change, err := (*Table)(nil).ApplyDocument(manyCustomers(30_000))
 	if err != nil {
 		t.Fatal(err)
 	}
-	for i, p := range Parts(change) {
+	for i, p := range SplitChange(change) {
 		if proto.Size(p) > 2*partBytes {
 			t.Errorf("part %d has %d bytes", i, proto.Size(p))
 		}
@@ -210,7 +210,7 @@
 // TestKeysTakeLittleMemory: 100,000 keys of one table take less than 2 MB on an entry instance.
 func TestKeysTakeLittleMemory(t *testing.T) {
 	const bound = 2 << 20
-	_, change, err := (*Table)(nil).Next(manyCustomers(100_000))
+	_, change, err := (*Table)(nil).ApplyDocument(manyCustomers(100_000))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -227,7 +227,7 @@
 	before := heap()
 	for _, c := range change.GetKeys() {
 		for b := c.GetAdded(); len(b) > 0; b = b[keySize:] {
-			draft.keys.put(Key(b[:keySize]), 0, draft.slots)
+			draft.keys.put(KeyDigest(b[:keySize]), 0, draft.slots)
 		}
 	}
 	index := draft.keys.index
@@ -255,7 +255,7 @@
 		}
 		b.ReportAllocs()
 		for b.Loop() {
-			if _, ok := t.Customer(KeyOf("key7")); !ok {
+			if _, ok := t.CustomerByKey(DigestKey("key7")); !ok {
 				b.Fatal("no customer")
 			}
 		}
@@ -270,19 +270,19 @@
 			b.Fatal(err)
 		}
 		more := proto.Clone(d).(*fleetpb.Document)
-		k := KeyOf("one more")
+		k := DigestKey("one more")
 		more.Version, more.Customers[0].Keys = 2, append(more.Customers[0].Keys, k[:])
-		_, change, err := t.Next(more)
+		_, change, err := t.ApplyDocument(more)
 		if err != nil {
 			b.Fatal(err)
 		}
 		b.ReportAllocs()
 		for b.Loop() {
-			u, err := t.Begin(change.GetBase())
+			u, err := t.BeginUpdate(change.GetBase())
 			if err != nil {
 				b.Fatal(err)
 			}
-			if out, err := u.Add(change); err != nil || out == nil {
+			if out, err := u.AddPart(change); err != nil || out == nil {
 				b.Fatal(err)
 			}
 		}
--- a/rockbarrow/routing/doc.go
+++ b/rockbarrow/routing/doc.go
@@ -8,7 +8,7 @@
 // and not with what is configured.
 //
 // Operators write whole configurations. A control instance makes a table of each
-// ([Table.Next]) and tells others the change that leads to it ([Update]). A table's digest
+// ([Table.ApplyDocument]) and tells others the change that leads to it ([Update]). A table's digest
 // is a sum over its routes and services, so that it too is made of what changed; it
 // shows whether a change was applied to the right table and came out whole.
 //
--- a/rockbarrow/routing/keys.go
+++ b/rockbarrow/routing/keys.go
@@ -12,13 +12,13 @@
 // 10^19 configurations.
 const keySize = 12
 
-// Key is the digest of a customer's key: what instances know of it. The first bytes of its SHA-256.
-type Key [keySize]byte
+// KeyDigest is the digest of a customer's key: what instances know of it. The first bytes of its SHA-256.
+type KeyDigest [keySize]byte
 
-// KeyOf returns the digest of a key.
-func KeyOf(secret string) Key {
+// DigestKey returns the digest of a key.
+func DigestKey(secret string) KeyDigest {
 	digest := sha256.Sum256([]byte(secret))
-	return Key(digest[:keySize])
+	return KeyDigest(digest[:keySize])
 }
 
 const (
@@ -30,7 +30,7 @@
 
 // keyEntry is a key with its customer. It has no pointers, so that the collector passes it over.
 type keyEntry struct {
-	key Key
+	key KeyDigest
 	// slot is the customer's place in the table's customers.
 	slot uint32
 }
@@ -47,12 +47,12 @@
 	sum sum
 }
 
-func (k Key) place() (node, bucket int) {
+func (k KeyDigest) place() (node, bucket int) {
 	return int(k[0] >> (8 - fanOutBits)), int(k[1] >> (8 - fanOutBits))
 }
 
 // find returns the customer's slot of a key.
-func (x *keyIndex) find(k Key) (slot uint32, ok bool) {
+func (x *keyIndex) find(k KeyDigest) (slot uint32, ok bool) {
 	node, bucket := k.place()
 	if x.nodes[node] == nil {
 		return 0, false
@@ -65,12 +65,12 @@
 	return entries[at].slot, true
 }
 
-func search(entries []keyEntry, k Key) (at int, ok bool) {
-	return slices.BinarySearchFunc(entries, k, func(e keyEntry, k Key) int { return bytes.Compare(e.key[:], k[:]) })
+func search(entries []keyEntry, k KeyDigest) (at int, ok bool) {
+	return slices.BinarySearchFunc(entries, k, func(e keyEntry, k KeyDigest) int { return bytes.Compare(e.key[:], k[:]) })
 }
 
 // each calls f with all keys.
-func (x *keyIndex) each(f func(k Key, slot uint32)) {
+func (x *keyIndex) each(f func(k KeyDigest, slot uint32)) {
 	for _, n := range x.nodes {
 		if n == nil {
 			continue
@@ -96,7 +96,7 @@
 }
 
 // bucket returns a bucket that may be written.
-func (d *keyDraft) bucket(k Key) *[]keyEntry {
+func (d *keyDraft) bucket(k KeyDigest) *[]keyEntry {
 	node, bucket := k.place()
 	if !d.own[node] {
 		copied := &keyNode{}
@@ -114,7 +114,7 @@
 }
 
 // put adds a key, or gives it to another customer.
-func (d *keyDraft) put(k Key, slot uint32, customers slots) {
+func (d *keyDraft) put(k KeyDigest, slot uint32, customers slots) {
 	entries := d.bucket(k)
 	at, ok := search(*entries, k)
 	if ok {
@@ -133,7 +133,7 @@
 }
 
 // remove takes a key out, if that customer holds it.
-func (d *keyDraft) remove(k Key, slot uint32, customers slots) {
+func (d *keyDraft) remove(k KeyDigest, slot uint32, customers slots) {
 	if held, ok := d.index.find(k); !ok || held != slot {
 		return
 	}
@@ -144,4 +144,4 @@
 	d.index.sum.remove(keySum(k, customers.name(slot)))
 }
 
-func keySum(k Key, customer string) sum { return sumOf(keyKind, append(k[:], customer...)) }
+func keySum(k KeyDigest, customer string) sum { return sumOf(keyKind, append(k[:], customer...)) }
--- a/rockbarrow/routing/next.go
+++ b/rockbarrow/routing/next.go
@@ -33,13 +33,13 @@
 
 // New checks a document and indexes it.
 func New(d *fleetpb.Document) (*Table, error) {
-	t, _, err := (*Table)(nil).Next(d)
+	t, _, err := (*Table)(nil).ApplyDocument(d)
 	return t, err
 }
 
-// Next checks a document and returns its table with the change that leads there from t.
+// ApplyDocument checks a document and returns its table with the change that leads there from t.
 // Errors are of type [*InvalidError], or of the encoder.
-func (t *Table) Next(d *fleetpb.Document) (*Table, *fleetpb.TableChange, error) {
+func (t *Table) ApplyDocument(d *fleetpb.Document) (*Table, *fleetpb.TableChange, error) {
 	t = t.orEmpty()
 	n := &next{
 		change: &fleetpb.TableChange{Base: t.baseDigest(), Version: d.GetVersion()},
--- a/rockbarrow/routing/table.go
+++ b/rockbarrow/routing/table.go
@@ -45,8 +45,8 @@
 // Version returns the configuration's version, zero for no table.
 func (t *Table) Version() uint64 { return t.orEmpty().version }
 
-// Routes returns the number of routes.
-func (t *Table) Routes() int { return t.orEmpty().routes.tree.Len() }
+// RouteCount returns the number of routes.
+func (t *Table) RouteCount() int { return t.orEmpty().routes.tree.Len() }
 
 // Limits returns what clients may do.
 func (t *Table) Limits() *fleetpb.Limits { return t.limits }
@@ -91,10 +91,10 @@
 	return ok
 }
 
-// Split returns the service that a key falls to, by the route's weights. The
+// PickService returns the service that a key falls to, by the route's weights. The
 // same key keeps its service while the weights stay, so that a program finds its
 // cache again.
-func Split(r *fleetpb.Route, key string) string {
+func PickService(r *fleetpb.Route, key string) string {
 	shares := r.GetShares()
 	if len(shares) == 1 {
 		return shares[0].GetService()
--- a/rockbarrow/routing/update.go
+++ b/rockbarrow/routing/update.go
@@ -45,9 +45,9 @@
 	customers *customersDraft
 }
 
-// Begin starts an update of a table; a change without a base begins with nothing,
+// BeginUpdate starts an update of a table; a change without a base begins with nothing,
 // whatever the table.
-func (t *Table) Begin(base []byte) (*Update, error) {
+func (t *Table) BeginUpdate(base []byte) (*Update, error) {
 	t = t.orEmpty()
 	if len(base) == 0 {
 		t = empty
@@ -58,10 +58,10 @@
 	return &Update{before: t, routes: t.routes.draft(), services: t.services.draft(), customers: t.customers.draft()}, nil
 }
 
-// Add applies a part. It returns the table after the last one and nil before. The
+// AddPart applies a part. It returns the table after the last one and nil before. The
 // configuration was checked by who made the change; that the outcome is the same is what
 // the digest shows.
-func (u *Update) Add(part *fleetpb.TableChange) (*Table, error) {
+func (u *Update) AddPart(part *fleetpb.TableChange) (*Table, error) {
 	if own := u.before.baseDigest(); !bytes.Equal(own, part.GetBase()) {
 		return nil, &BaseError{want: own, got: part.GetBase()}
 	}
@@ -133,9 +133,9 @@
 // partBytes is about how large one part is, before compression: 64 KB take 17 ms on a link of 30 Mbit/s.
 const partBytes = 64 << 10
 
-// Parts splits a change, so that a receiver sees progress and does not hold all of it. Customers are there
+// SplitChange splits a change, so that a receiver sees progress and does not hold all of it. Customers are there
 // before their keys, and are taken out after them.
-func Parts(c *fleetpb.TableChange) []*fleetpb.TableChange {
+func SplitChange(c *fleetpb.TableChange) []*fleetpb.TableChange {
 	p := &parts{base: c.GetBase()}
 	p.open()
 	p.last.Services, p.last.RemovedServices, p.last.RemovedRoutes = c.GetServices(), c.GetRemovedServices(), c.GetRemovedRoutes()
@@ -178,8 +178,8 @@
 	p.size += size
 }
 
-// Whole returns the change that makes this table of nothing.
-func (t *Table) Whole() (*fleetpb.TableChange, error) {
+// Snapshot returns the change that makes this table of nothing.
+func (t *Table) Snapshot() (*fleetpb.TableChange, error) {
 	t = t.orEmpty()
 	c := &fleetpb.TableChange{Version: t.version, Limits: t.limitsRaw, Digest: t.Digest()}
 	var failed error
--- a/rockbarrow/routing/update_test.go
+++ b/rockbarrow/routing/update_test.go
@@ -51,11 +51,11 @@
 // apply makes a table of what a change's parts are on the way.
 func apply(t *testing.T, held *Table, c *fleetpb.TableChange) (*Table, error) {
 	t.Helper()
-	u, err := held.Begin(c.GetBase())
+	u, err := held.BeginUpdate(c.GetBase())
 	if err != nil {
 		return nil, err
 	}
-	for _, p := range Parts(c) {
+	for _, p := range SplitChange(c) {
 		b, err := proto.Marshal(p)
 		if err != nil {
 			t.Fatal(err)
@@ -64,7 +64,7 @@
 		if err := proto.Unmarshal(b, part); err != nil {
 			t.Fatal(err)
 		}
-		out, err := u.Add(part)
+		out, err := u.AddPart(part)
 		if err != nil || out != nil {
 			return out, err
 		}
@@ -75,7 +75,7 @@
 // follow returns the tables of control and of an entry instance that follow under a document.
 func follow(t *testing.T, seed uint64, control, entry *Table, d *fleetpb.Document) (next, followed *Table) {
 	t.Helper()
-	next, change, err := control.Next(d)
+	next, change, err := control.ApplyDocument(d)
 	if err != nil {
 		t.Fatalf("seed %d: %v", seed, err)
 	}
@@ -118,7 +118,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		whole, err := control.Whole()
+		whole, err := control.Snapshot()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -162,11 +162,11 @@
 // TestALargeChangeComesInParts: no part is much larger than what a slow link carries in
 // some ten milliseconds.
 func TestALargeChangeComesInParts(t *testing.T) {
-	table, change, err := (*Table)(nil).Next(document(5000, 1))
+	table, change, err := (*Table)(nil).ApplyDocument(document(5000, 1))
 	if err != nil {
 		t.Fatal(err)
 	}
-	parts := Parts(change)
+	parts := SplitChange(change)
 	if len(parts) < 4 {
 		t.Errorf("5,000 routes came in %d parts", len(parts))
 	}
@@ -191,7 +191,7 @@
 	}
 	d := document(11, 2)
 	d.Version = 2
-	_, change, err := first.Next(d)
+	_, change, err := first.ApplyDocument(d)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -202,12 +202,12 @@
 		}
 	})
 	t.Run("the base changes between parts", func(t *testing.T) {
-		u, err := first.Begin(change.GetBase())
+		u, err := first.BeginUpdate(change.GetBase())
 		if err != nil {
 			t.Fatal(err)
 		}
 		var wrong *BaseError
-		if _, err := u.Add(&fleetpb.TableChange{Base: []byte("x")}); !errors.As(err, &wrong) {
+		if _, err := u.AddPart(&fleetpb.TableChange{Base: []byte("x")}); !errors.As(err, &wrong) {
 			t.Errorf("%v, want a BaseError", err)
 		}
 	})
@@ -256,7 +256,7 @@
 			if _, err := New(d); !errors.As(err, &invalid) {
 				t.Errorf("of nothing: %v, want an InvalidError", err)
 			}
-			if _, _, err := before.Next(d); !errors.As(err, &invalid) {
+			if _, _, err := before.ApplyDocument(d); !errors.As(err, &invalid) {
 				t.Errorf("of the table before: %v, want an InvalidError", err)
 			}
 		})
@@ -272,7 +272,7 @@
 	}
 	d := document(n+1, hosts)
 	d.Version = 2
-	_, change, err := table.Next(d)
+	_, change, err := table.ApplyDocument(d)
 	if err != nil {
 		tb.Fatal(err)
 	}
@@ -286,11 +286,11 @@
 	allocations := func(n, hosts int) float64 {
 		table, change := oneMore(t, n, hosts)
 		return testing.AllocsPerRun(10, func() {
-			u, err := table.Begin(change.GetBase())
+			u, err := table.BeginUpdate(change.GetBase())
 			if err != nil {
 				t.Fatal(err)
 			}
-			if out, err := u.Add(change); err != nil || out == nil {
+			if out, err := u.AddPart(change); err != nil || out == nil {
 				t.Fatal(err)
 			}
 		})
@@ -318,11 +318,11 @@
 			return
 		}
 		before := table.Digest()
-		u, err := table.Begin(c.GetBase())
+		u, err := table.BeginUpdate(c.GetBase())
 		if err != nil {
 			return
 		}
-		out, err := u.Add(c)
+		out, err := u.AddPart(c)
 		if err == nil && out != nil && !bytes.Equal(out.Digest(), c.GetDigest()) {
 			t.Error("a table was taken that has another digest")
 		}
@@ -363,7 +363,7 @@
 		}
 		d := document(n+1, hosts)
 		for b.Loop() {
-			if _, _, err := table.Next(d); err != nil {
+			if _, _, err := table.ApplyDocument(d); err != nil {
 				b.Fatal(err)
 			}
 		}
@@ -375,11 +375,11 @@
 	eachSize(b, func(b *testing.B, n, hosts int) {
 		table, change := oneMore(b, n, hosts)
 		for b.Loop() {
-			u, err := table.Begin(change.GetBase())
+			u, err := table.BeginUpdate(change.GetBase())
 			if err != nil {
 				b.Fatal(err)
 			}
-			if out, err := u.Add(change); err != nil || out == nil {
+			if out, err := u.AddPart(change); err != nil || out == nil {
 				b.Fatal(err)
 			}
 		}
--- a/rockbarrow/watch/table.go
+++ b/rockbarrow/watch/table.go
@@ -149,11 +149,11 @@
 		return errors.Wrap(err, "watch: decode routing table part")
 	}
 	if f.update == nil {
-		if f.update, err = f.table.Begin(change.GetBase()); err != nil {
+		if f.update, err = f.table.BeginUpdate(change.GetBase()); err != nil {
 			return err
 		}
 	}
-	next, err := f.update.Add(change)
+	next, err := f.update.AddPart(change)
 	if err != nil {
 		return err
 	}
--- a/rockbarrow/watch/table_test.go
+++ b/rockbarrow/watch/table_test.go
@@ -98,11 +98,11 @@
 		t.Fatal(err)
 	}
 	d.Version = 2
-	after, c, err := before.Next(d)
+	after, c, err := before.ApplyDocument(d)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w, err := after.Whole()
+	w, err := after.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -112,7 +112,7 @@
 func pack(t *testing.T, c *fleetpb.TableChange) []*fleetpb.TablePart {
 	t.Helper()
 	var out []*fleetpb.TablePart
-	for _, p := range routing.Parts(c) {
+	for _, p := range routing.SplitChange(c) {
 		b, err := proto.Marshal(p)
 		if err != nil {
 			t.Fatal(err)
--- a/rockbench/soak/customers.go
+++ b/rockbench/soak/customers.go
@@ -128,7 +128,7 @@
 	for _, name := range []string{bounded, passing, steadyName(0), steadyName(1), steadyName(2)} {
 		customer := &fleetpb.Customer{Name: name}
 		for _, secret := range c.secrets[name] {
-			k := routing.KeyOf(secret)
+			k := routing.DigestKey(secret)
 			customer.Keys = append(customer.Keys, k[:])
 		}
 		if name == bounded {
