--- a/rockbarrow/routing/customer_change.go
+++ b/rockbarrow/routing/customer_change.go
@@ -11,15 +11,15 @@
 	"rockbarrow.dev/schema/fleetpb"
 )
 
-// mostRequests is the largest rate and burst of a quota: more is a mistake of the operator.
-const mostRequests = 1e9
+// maxRequests bounds the rate and the burst of a quota.
+const maxRequests = 1e9
 
-// takeCustomers checks the customers of a document and notes what changes about them. Keys that are taken
-// away come before keys that are added, since a key may move to another customer.
-func (n *next) takeCustomers(list []*fleetpb.Customer) error {
+// addCustomers validates the customers of a document and records their changes.
+// Removed keys precede added ones, since a key may move between customers.
+func (b *builder) addCustomers(list []*fleetpb.Customer) error {
 	holders := map[KeyDigest]string{}
 	for _, c := range list {
-		if err := n.checkCustomer(c, holders); err != nil {
+		if err := b.checkCustomer(c, holders); err != nil {
 			return err
 		}
 		bare := &fleetpb.Customer{Name: c.GetName(), Priority: c.GetPriority(), RequestsPerSecond: c.GetRequestsPerSecond(), Burst: c.GetBurst()}
@@ -27,83 +27,83 @@
 		if err != nil {
 			return err
 		}
-		if n.customers.put(bare, raw) {
-			n.change.Customers = append(n.change.Customers, raw)
+		if b.customers.put(bare, raw) {
+			b.change.Customers = append(b.change.Customers, raw)
 		}
 	}
-	removed := keyLists{}
-	n.before.customers.keys.each(func(k KeyDigest, slot uint32) {
-		if holder := n.before.customers.slots.name(slot); holders[k] != holder {
+	removed := keysByCustomer{}
+	b.base.customers.keys.each(func(k KeyDigest, slot uint32) {
+		if holder := b.base.customers.slots.name(slot); holders[k] != holder {
 			removed[holder] = append(removed[holder], k[:]...)
 		}
 	})
-	added := keyLists{}
+	added := keysByCustomer{}
 	for _, c := range list {
 		for _, raw := range c.GetKeys() {
 			k := KeyDigest(raw)
-			if slot, ok := n.before.customers.keys.find(k); !ok || n.before.customers.slots.name(slot) != c.GetName() {
+			if slot, ok := b.base.customers.keys.find(k); !ok || b.base.customers.slots.name(slot) != c.GetName() {
 				added[c.GetName()] = append(added[c.GetName()], raw...)
 			}
 		}
 	}
-	n.change.Keys = append(removed.changes(true), added.changes(false)...)
-	for _, c := range n.change.Keys {
-		if err := n.customers.change(c); err != nil {
+	b.change.Keys = append(removed.keyChanges(true), added.keyChanges(false)...)
+	for _, c := range b.change.Keys {
+		if err := b.customers.applyKeyChange(c); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// checkCustomer reports what makes a customer invalid, and notes its keys.
-func (n *next) checkCustomer(c *fleetpb.Customer, holders map[KeyDigest]string) error {
+// checkCustomer validates a customer and records the owners of its keys in holders.
+func (b *builder) checkCustomer(c *fleetpb.Customer, holders map[KeyDigest]string) error {
 	invalid := func(reason string) error { return &InvalidError{Customer: c.GetName(), Reason: reason} }
 	switch {
 	case c.GetName() == "":
 		return &InvalidError{Reason: "a customer has no name"}
-	case n.holders[c.GetName()]:
-		return invalid("it stands there twice")
-	case !(c.GetRequestsPerSecond() >= 0 && c.GetRequestsPerSecond() <= mostRequests):
+	case b.customerNames[c.GetName()]:
+		return invalid("its name is used twice")
+	case !(c.GetRequestsPerSecond() >= 0 && c.GetRequestsPerSecond() <= maxRequests):
 		return invalid("its rate is not between 0 and 10^9")
-	case !(c.GetBurst() >= 0 && c.GetBurst() <= mostRequests):
+	case !(c.GetBurst() >= 0 && c.GetBurst() <= maxRequests):
 		return invalid("its burst is not between 0 and 10^9")
 	}
-	n.holders[c.GetName()] = true
+	b.customerNames[c.GetName()] = true
 	for i, raw := range c.GetKeys() {
 		if len(raw) != keySize {
 			return invalid(fmt.Sprintf("its key number %d is empty", i+1))
 		}
 		if other, ok := holders[KeyDigest(raw)]; ok {
-			return invalid(fmt.Sprintf("its key number %d is also held by customer %q", i+1, other))
+			return invalid(fmt.Sprintf("its key number %d is also a key of customer %q", i+1, other))
 		}
 		holders[KeyDigest(raw)] = c.GetName()
 	}
 	return nil
 }
 
-// dropCustomers takes out what the document does not name any more.
-func (n *next) dropCustomers() {
-	n.before.customers.byName.each(func(key []byte, _ uint32) bool {
-		if name := string(key); !n.holders[name] {
-			n.customers.remove(name)
-			n.change.RemovedCustomers = append(n.change.RemovedCustomers, name)
+// removeCustomers removes the customers that the document no longer contains.
+func (b *builder) removeCustomers() {
+	b.base.customers.byName.each(func(key []byte, _ uint32) bool {
+		if name := string(key); !b.customerNames[name] {
+			b.customers.remove(name)
+			b.change.RemovedCustomers = append(b.change.RemovedCustomers, name)
 		}
 		return true
 	})
 }
 
-// keyLists are digests, one after the other, by customer.
-type keyLists map[string][]byte
+// keysByCustomer maps customers to their concatenated key digests.
+type keysByCustomer map[string][]byte
 
-// keysAtOnce is how many keys one change holds, so that parts of a table stay small.
-const keysAtOnce = 2048
+// maxKeysPerChange bounds the keys in one change, so that parts of a table stay small.
+const maxKeysPerChange = 2048
 
-// changes returns the changes that add or remove these keys.
-func (l keyLists) changes(remove bool) []*fleetpb.KeyChange {
+// keyChanges returns the changes that add or remove the keys.
+func (l keysByCustomer) keyChanges(remove bool) []*fleetpb.KeyChange {
 	var out []*fleetpb.KeyChange
 	for name, keys := range l {
 		for len(keys) > 0 {
-			n := min(len(keys), keysAtOnce*keySize)
+			n := min(len(keys), maxKeysPerChange*keySize)
 			c := &fleetpb.KeyChange{Customer: name, Added: keys[:n]}
 			if remove {
 				c.Added, c.Removed = nil, keys[:n]
@@ -115,25 +115,25 @@
 	return out
 }
 
-// addCustomers applies what a part of a change says of customers, but for those that are taken out.
+// addCustomers applies the new and changed customers and keys of a part.
 func (u *Update) addCustomers(part *fleetpb.TableChange) error {
 	for _, raw := range part.GetCustomers() {
 		c := &fleetpb.Customer{}
 		if err := proto.Unmarshal(raw, c); err != nil {
-			return errors.Wrap(err, "routing: a customer of a change")
+			return errors.Wrap(err, "routing: decode customer")
 		}
 		u.customers.put(c, raw)
 	}
 	for _, k := range part.GetKeys() {
-		if err := u.customers.change(k); err != nil {
+		if err := u.customers.applyKeyChange(k); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// wholeCustomers puts all customers and keys into a change.
-func (t *Table) wholeCustomers(c *fleetpb.TableChange) error {
+// addCustomersTo adds all customers and keys to a change.
+func (t *Table) addCustomersTo(c *fleetpb.TableChange) error {
 	for _, customer := range t.customers.slots {
 		if customer == nil {
 			continue
@@ -144,11 +144,11 @@
 		}
 		c.Customers = append(c.Customers, raw)
 	}
-	added := keyLists{}
+	added := keysByCustomer{}
 	t.customers.keys.each(func(k KeyDigest, slot uint32) {
 		name := t.customers.slots.name(slot)
 		added[name] = append(added[name], k[:]...)
 	})
-	c.Keys = added.changes(false)
+	c.Keys = added.keyChanges(false)
 	return nil
 }
--- a/rockbarrow/routing/customers.go
+++ b/rockbarrow/routing/customers.go
@@ -8,32 +8,32 @@
 	"rockbarrow.dev/schema/fleetpb"
 )
 
-// slots are the customers of a table by the number that its index of keys knows them by. A slot whose customer
-// was taken out is nil and is used again.
+// slots are the customers of a table, at the positions that the key index refers
+// to. The slot of a removed customer is nil and is reused.
 type slots []*fleetpb.Customer
 
 func (s slots) name(slot uint32) string { return s[slot].GetName() }
 
-// customers is who holds keys. It never changes: a [customersDraft] makes the next one.
+// customers is an immutable set of customers with an index of their keys.
 type customers struct {
-	// byName holds the slot of each customer; its sum is that of the customers without their keys.
-	byName layer[uint32]
+	// byName maps names to slots; its hash covers the customers without their keys.
+	byName radixIndex[uint32]
 	slots  slots
 	keys   keyIndex
 }
 
-func newCustomers() customers { return customers{byName: newLayer[uint32]()} }
+func newCustomers() customers { return customers{byName: newRadixIndex[uint32]()} }
 
-// sums returns what the table's digest is made of, nothing if there are no customers: the digest of
-// a table without any is the same as that of a version that knows of none.
-func (c *customers) sums() []sum {
+// hashes returns the hashes that enter the table's digest. There are none without
+// customers, so that versions that do not support customers compute the same digest.
+func (c *customers) hashes() []setHash {
 	if c.byName.tree.Len() == 0 {
 		return nil
 	}
-	return []sum{c.byName.sum, c.keys.sum}
+	return []setHash{c.byName.hash, c.keys.hash}
 }
 
-// CustomerByKey returns who holds a key.
+// CustomerByKey returns the customer that holds a key.
 func (t *Table) CustomerByKey(k KeyDigest) (c *fleetpb.Customer, ok bool) {
 	slot, ok := t.customers.keys.find(k)
 	if !ok {
@@ -42,7 +42,7 @@
 	return t.customers.slots[slot], true
 }
 
-// CustomerByName returns a customer by name, or nil.
+// CustomerByName returns the customer with the given name, or nil.
 func (t *Table) CustomerByName(name string) *fleetpb.Customer {
 	t = t.orEmpty()
 	slot, ok := t.customers.byName.get([]byte(name))
@@ -64,8 +64,8 @@
 	Digests []KeyDigest
 }
 
-// EachCustomer calls f with all customers in the order of their names, until it returns false. The work goes with the
-// number of all keys.
+// EachCustomer calls f for all customers in the order of their names, until f
+// returns false. It takes time proportional to the number of all keys.
 func (t *Table) EachCustomer(f func(CustomerKeys) bool) {
 	t = t.orEmpty()
 	digests := make([][]KeyDigest, len(t.customers.slots))
@@ -75,25 +75,25 @@
 	})
 }
 
-// customersDraft is customers in the making.
-type customersDraft struct {
-	byName *draft[uint32]
+// customersTxn builds a modified copy of customers.
+type customersTxn struct {
+	byName *radixTxn[uint32]
 	slots  slots
 	copied bool
 	free   []uint32
-	keys   *keyDraft
+	keys   *keyIndexTxn
 }
 
-func (c *customers) draft() *customersDraft {
-	return &customersDraft{byName: c.byName.draft(), slots: c.slots, keys: c.keys.draft()}
+func (c *customers) begin() *customersTxn {
+	return &customersTxn{byName: c.byName.begin(), slots: c.slots, keys: c.keys.begin()}
 }
 
-func (d *customersDraft) commit() customers {
+func (d *customersTxn) commit() customers {
 	return customers{byName: d.byName.commit(), slots: d.slots, keys: d.keys.index}
 }
 
-// own copies the slots before they are written.
-func (d *customersDraft) own() {
+// copySlots copies the slots before the first write.
+func (d *customersTxn) copySlots() {
 	if d.copied {
 		return
 	}
@@ -106,12 +106,12 @@
 	}
 }
 
-// put adds a customer or replaces the one of its name, without its keys. It reports whether that changed anything.
-func (d *customersDraft) put(c *fleetpb.Customer, raw []byte) bool {
+// put adds or replaces a customer without its keys, and reports whether anything changed.
+func (d *customersTxn) put(c *fleetpb.Customer, raw []byte) bool {
 	name := []byte(c.GetName())
 	slot, known := d.slot(c.GetName())
 	if !known {
-		d.own()
+		d.copySlots()
 		slot = uint32(len(d.slots))
 		if n := len(d.free); n > 0 {
 			slot, d.free = d.free[n-1], d.free[:n-1]
@@ -119,15 +119,15 @@
 			d.slots = append(d.slots, nil)
 		}
 	}
-	if !d.byName.put(name, slot, sumOf(customerKind, raw)) {
+	if !d.byName.put(name, slot, hashElement(customerKind, raw)) {
 		return false
 	}
-	d.own()
+	d.copySlots()
 	d.slots[slot] = c
 	return true
 }
 
-func (d *customersDraft) slot(name string) (slot uint32, ok bool) {
+func (d *customersTxn) slot(name string) (slot uint32, ok bool) {
 	found, ok := d.byName.txn.Get([]byte(name))
 	if !ok {
 		return 0, false
@@ -135,26 +135,26 @@
 	return found.message, true
 }
 
-// remove takes a customer out. Its keys must be out before.
-func (d *customersDraft) remove(name string) {
+// remove removes a customer. Its keys must have been removed before.
+func (d *customersTxn) remove(name string) {
 	slot, ok := d.slot(name)
 	if !ok {
 		return
 	}
-	d.own()
+	d.copySlots()
 	d.byName.remove([]byte(name))
 	d.slots[slot] = nil
 	d.free = append(d.free, slot)
 }
 
-// change applies a change of one customer's keys.
-func (d *customersDraft) change(c *fleetpb.KeyChange) error {
+// applyKeyChange applies a change to one customer's keys.
+func (d *customersTxn) applyKeyChange(c *fleetpb.KeyChange) error {
 	slot, ok := d.slot(c.GetCustomer())
 	if !ok {
-		return errors.Errorf("routing: keys of customer %q, which is not known", c.GetCustomer())
+		return errors.Errorf("routing: key change for customer %q, which is not known", c.GetCustomer())
 	}
 	if len(c.GetAdded())%keySize != 0 || len(c.GetRemoved())%keySize != 0 {
-		return errors.Errorf("routing: keys of customer %q are cut off", c.GetCustomer())
+		return errors.Errorf("routing: truncated keys of customer %q", c.GetCustomer())
 	}
 	for b := c.GetRemoved(); len(b) > 0; b = b[keySize:] {
 		d.keys.remove(KeyDigest(b[:keySize]), slot, d.slots)
--- a/rockbarrow/routing/customers_test.go
+++ b/rockbarrow/routing/customers_test.go
@@ -16,8 +16,8 @@
 	"rockbarrow.dev/schema/fleetpb"
 )
 
-// customer returns one with keys of these names.
-func customer(name string, secrets ...string) *fleetpb.Customer {
+// newCustomer returns a customer with the given keys.
+func newCustomer(name string, secrets ...string) *fleetpb.Customer {
 	c := &fleetpb.Customer{Name: name, RequestsPerSecond: 10, Burst: 5}
 	for _, s := range secrets {
 		k := DigestKey(s)
@@ -26,12 +26,12 @@
 	return c
 }
 
-// manyCustomers returns a document with so many keys, ten a customer.
-func manyCustomers(keys int) *fleetpb.Document {
-	d := document(1, 1)
+// newDocumentWithKeys returns a document with the given number of keys, ten per customer.
+func newDocumentWithKeys(keys int) *fleetpb.Document {
+	d := newDocument(1, 1)
 	for i := range keys {
 		if i%10 == 0 {
-			d.Customers = append(d.Customers, customer(fmt.Sprintf("c%d", i/10)))
+			d.Customers = append(d.Customers, newCustomer(fmt.Sprintf("c%d", i/10)))
 		}
 		c := d.Customers[len(d.Customers)-1]
 		k := DigestKey(fmt.Sprintf("key%d", i))
@@ -40,8 +40,8 @@
 	return d
 }
 
-// changedCustomers adds, alters and takes away customers and keys in a few drawn places; keys also move.
-func changedCustomers(r *rand.Rand, d *fleetpb.Document) {
+// mutateCustomers adds, changes and removes random customers and keys, and moves keys.
+func mutateCustomers(r *rand.Rand, d *fleetpb.Document) {
 	secret := func() string { return fmt.Sprintf("key%d", r.IntN(60)) }
 	held := func(k KeyDigest) bool {
 		return slices.ContainsFunc(d.Customers, func(c *fleetpb.Customer) bool {
@@ -50,7 +50,7 @@
 	}
 	for range r.IntN(4) {
 		if name := fmt.Sprintf("c%d", r.IntN(20)); !slices.ContainsFunc(d.Customers, func(c *fleetpb.Customer) bool { return c.GetName() == name }) {
-			d.Customers = append(d.Customers, customer(name))
+			d.Customers = append(d.Customers, newCustomer(name))
 		}
 	}
 	for range r.IntN(6) {
@@ -70,7 +70,7 @@
 		}
 	}
 	if len(d.Customers) > 1 && r.IntN(2) == 0 {
-		// The keys of the last customer may move to the first one.
+		// Possibly move the removed customer's keys to the first one.
 		last := d.Customers[len(d.Customers)-1]
 		d.Customers = d.Customers[:len(d.Customers)-1]
 		if r.IntN(2) == 0 {
@@ -79,12 +79,12 @@
 	}
 }
 
-// TestChangesOfCustomersLeadToTheSameTable: a table that follows changes finds each key's customer as one that is
-// made of the whole document, also for keys that move, come back or were a customer's last one.
+// TestChangesOfCustomersLeadToTheSameTable guards against tables that diverge when
+// changes are applied: keys may move, return or be a customer's last one.
 func TestChangesOfCustomersLeadToTheSameTable(t *testing.T) {
 	for seed := range uint64(20) {
 		r := rand.New(rand.NewPCG(seed, 2))
-		d := document(3, 1)
+		d := newDocument(3, 1)
 		control, err := New(d)
 		if err != nil {
 			t.Fatal(err)
@@ -93,8 +93,8 @@
 		for range 25 {
 			d = proto.Clone(d).(*fleetpb.Document)
 			d.Version++
-			changedCustomers(r, d)
-			next, followed := follow(t, seed, control, entry, d)
+			mutateCustomers(r, d)
+			next, followed := applyDocument(t, seed, control, entry, d)
 			fresh, err := New(d)
 			if err != nil {
 				t.Fatal(err)
@@ -103,7 +103,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			again, err := apply(t, nil, whole)
+			again, err := applyParts(t, nil, whole)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -138,26 +138,26 @@
 	}
 }
 
-// TestInvalidCustomersAreRefused: the error names the customer. Keys themselves are not known here.
+// TestInvalidCustomersAreRefused checks that the error names the customer.
 func TestInvalidCustomersAreRefused(t *testing.T) {
 	const secret = "one"
 	with := func(f func(*fleetpb.Customer)) []*fleetpb.Customer {
-		c := customer("a", secret)
+		c := newCustomer("a", secret)
 		f(c)
 		return []*fleetpb.Customer{c}
 	}
 	tests := map[string][]*fleetpb.Customer{
-		"a key that two hold":      {customer("a", secret), customer("b", "two", secret)},
-		"a key that one has twice": {customer("a", secret, secret)},
-		"a name that two have":     {customer("a", secret), customer("a", "two")},
-		"no name":                  {customer("", secret)},
-		"an empty key":             with(func(c *fleetpb.Customer) { c.Keys = append(c.Keys, nil) }),
-		"a negative rate":          with(func(c *fleetpb.Customer) { c.RequestsPerSecond = -1 }),
-		"an absurd rate":           with(func(c *fleetpb.Customer) { c.RequestsPerSecond = 1e12 }),
-		"a negative burst":         with(func(c *fleetpb.Customer) { c.Burst = -0.5 }),
+		"a key of two customers": {newCustomer("a", secret), newCustomer("b", "two", secret)},
+		"a key listed twice":     {newCustomer("a", secret, secret)},
+		"a name used twice":      {newCustomer("a", secret), newCustomer("a", "two")},
+		"no name":                {newCustomer("", secret)},
+		"an empty key":           with(func(c *fleetpb.Customer) { c.Keys = append(c.Keys, nil) }),
+		"a negative rate":        with(func(c *fleetpb.Customer) { c.RequestsPerSecond = -1 }),
+		"an absurd rate":         with(func(c *fleetpb.Customer) { c.RequestsPerSecond = 1e12 }),
+		"a negative burst":       with(func(c *fleetpb.Customer) { c.Burst = -0.5 }),
 	}
 	for name, list := range tests {
-		d := document(1, 1)
+		d := newDocument(1, 1)
 		d.Customers = list
 		var invalid *InvalidError
 		_, err := New(d)
@@ -167,12 +167,12 @@
 	}
 }
 
-// TestKeysOfAnUnknownCustomerAreNotApplied: a change that does not fit is noticed.
+// TestKeysOfAnUnknownCustomerAreNotApplied covers malformed key changes.
 func TestKeysOfAnUnknownCustomerAreNotApplied(t *testing.T) {
 	k := DigestKey("one")
 	for name, c := range map[string]*fleetpb.KeyChange{
 		"an unknown customer": {Customer: "nobody", Added: k[:]},
-		"half a key":          {Customer: "a", Added: k[:5]},
+		"a truncated key":     {Customer: "a", Added: k[:5]},
 	} {
 		u, err := (*Table)(nil).BeginUpdate(nil)
 		if err != nil {
@@ -188,33 +188,33 @@
 	}
 }
 
-// TestManyKeysComeInParts: no part is much larger than what a slow link carries in some ten milliseconds.
+// TestManyKeysComeInParts guards against parts that are too large for a slow link.
 func TestManyKeysComeInParts(t *testing.T) {
-	table, change, err := (*Table)(nil).ApplyDocument(manyCustomers(30_000))
+	table, change, err := (*Table)(nil).ApplyDocument(newDocumentWithKeys(30_000))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i, p := range SplitChange(change) {
-		if proto.Size(p) > 2*partBytes {
+		if proto.Size(p) > 2*targetPartBytes {
 			t.Errorf("part %d has %d bytes", i, proto.Size(p))
 		}
 	}
-	if got, err := apply(t, nil, change); err != nil || !bytes.Equal(got.Digest(), table.Digest()) {
+	if got, err := applyParts(t, nil, change); err != nil || !bytes.Equal(got.Digest(), table.Digest()) {
 		t.Errorf("another table came out: %v", err)
 	}
 }
 
-// keySizes are the numbers of keys of benchmarks and of the bound on memory.
-var keySizes = []int{760, 100_000}
+// keyCounts are the numbers of keys in benchmarks.
+var keyCounts = []int{760, 100_000}
 
-// TestKeysTakeLittleMemory: 100,000 keys of one table take less than 2 MB on an entry instance.
+// TestKeysTakeLittleMemory bounds the memory of an index of 100,000 keys.
 func TestKeysTakeLittleMemory(t *testing.T) {
 	const bound = 2 << 20
-	_, change, err := (*Table)(nil).ApplyDocument(manyCustomers(100_000))
+	_, change, err := (*Table)(nil).ApplyDocument(newDocumentWithKeys(100_000))
 	if err != nil {
 		t.Fatal(err)
 	}
-	// The customers themselves count for nothing here: they are as many as the operator has.
+	// Keep the customers out of the measurement.
 	change.Customers = slices.Clone(change.Customers)
 	heap := func() uint64 {
 		var m runtime.MemStats
@@ -222,7 +222,7 @@
 		runtime.ReadMemStats(&m)
 		return m.HeapAlloc
 	}
-	draft := (&customers{byName: newLayer[uint32]()}).draft()
+	draft := (&customers{byName: newRadixIndex[uint32]()}).begin()
 	draft.slots, draft.copied = slots{{Name: "c"}}, true
 	before := heap()
 	for _, c := range change.GetKeys() {
@@ -234,21 +234,21 @@
 	draft = nil
 	after := heap()
 	if used := after - before; index.len != 100_000 || used > bound {
-		t.Errorf("%d keys take %d bytes", index.len, used)
+		t.Errorf("%d keys use %d bytes", index.len, used)
 	}
 	runtime.KeepAlive(&index)
 	runtime.KeepAlive(change)
 }
 
-func eachKeys(b *testing.B, f func(b *testing.B, d *fleetpb.Document)) {
-	for _, n := range keySizes {
-		b.Run(fmt.Sprintf("keys=%d", n), func(b *testing.B) { f(b, manyCustomers(n)) })
+func forEachKeyCount(b *testing.B, f func(b *testing.B, d *fleetpb.Document)) {
+	for _, n := range keyCounts {
+		b.Run(fmt.Sprintf("keys=%d", n), func(b *testing.B) { f(b, newDocumentWithKeys(n)) })
 	}
 }
 
-// BenchmarkCustomer is a request's search for its customer.
+// BenchmarkCustomer measures the lookup of a request's customer.
 func BenchmarkCustomer(b *testing.B) {
-	eachKeys(b, func(b *testing.B, d *fleetpb.Document) {
+	forEachKeyCount(b, func(b *testing.B, d *fleetpb.Document) {
 		t, err := New(d)
 		if err != nil {
 			b.Fatal(err)
@@ -262,9 +262,9 @@
 	})
 }
 
-// BenchmarkKeyChange is an entry instance's work for one key more.
+// BenchmarkKeyChange measures applying a change that adds one key.
 func BenchmarkKeyChange(b *testing.B) {
-	eachKeys(b, func(b *testing.B, d *fleetpb.Document) {
+	forEachKeyCount(b, func(b *testing.B, d *fleetpb.Document) {
 		t, err := New(d)
 		if err != nil {
 			b.Fatal(err)
--- a/rockbarrow/routing/digest.go
+++ b/rockbarrow/routing/digest.go
@@ -7,12 +7,12 @@
 	"encoding/binary"
 )
 
-// sum is a digest of a set: the sum of its members' SHA-256, in four lanes of 64 bits. A
-// member is added or removed without the others. It finds mistakes; it withstands nobody
-// who makes up configurations to fool it, which only operators send.
-type sum [4]uint64
+// setHash is the hash of a set: the lane-wise sum of its elements' SHA-256. Elements
+// can be added and removed incrementally. It detects errors but not deliberate
+// collisions; configurations come only from operators.
+type setHash [4]uint64
 
-// Members of different kinds never have the same digest.
+// Kinds separate the hashes of elements of different types.
 const (
 	routeKind    = 'r'
 	serviceKind  = 's'
@@ -20,45 +20,45 @@
 	keyKind      = 'k'
 )
 
-func sumOf(kind byte, raw []byte) sum {
+func hashElement(kind byte, raw []byte) setHash {
 	h := sha256.New()
 	h.Write([]byte{kind})
 	h.Write(raw)
 	digest := h.Sum(nil)
-	var s sum
+	var s setHash
 	for i := range s {
 		s[i] = binary.BigEndian.Uint64(digest[8*i:])
 	}
 	return s
 }
 
-func (s *sum) add(o sum) {
+func (s *setHash) add(o setHash) {
 	for i := range s {
 		s[i] += o[i]
 	}
 }
 
-func (s *sum) remove(o sum) {
+func (s *setHash) remove(o setHash) {
 	for i := range s {
 		s[i] -= o[i]
 	}
 }
 
-// Digest names the table's content: equal tables have equal digests. Instances of
-// different versions compare them, so that it is part of the protocol between them.
+// Digest identifies the table's content: equal tables have equal digests. It is part
+// of the protocol between instances, which may run different versions.
 func (t *Table) Digest() []byte {
 	t = t.orEmpty()
 	b := binary.BigEndian.AppendUint64(nil, t.version)
-	for _, s := range append([]sum{t.routes.sum, t.services.sum}, t.customers.sums()...) {
+	for _, s := range append([]setHash{t.routes.hash, t.services.hash}, t.customers.hashes()...) {
 		for _, lane := range s {
 			b = binary.BigEndian.AppendUint64(b, lane)
 		}
 	}
-	digest := sha256.Sum256(append(b, t.limitsRaw...))
+	digest := sha256.Sum256(append(b, t.encodedLimits...))
 	return digest[:]
 }
 
-// baseDigest is the digest as a change's base: none for a table of nothing.
+// baseDigest returns the digest that names t as a change's base, nil for the empty table.
 func (t *Table) baseDigest() []byte {
 	if t.orEmpty() == empty {
 		return nil
--- a/rockbarrow/routing/doc.go
+++ b/rockbarrow/routing/doc.go
@@ -2,15 +2,15 @@
 
 // Package routing decides which service a request belongs to.
 //
-// A [Table] is one version of the configuration, checked and indexed. It never
-// changes, so that requests read it through an atomic pointer without a lock. The next
-// version shares with it whatever is the same, so that its cost goes with what changed
-// and not with what is configured.
+// A [Table] is one version of the configuration, validated and indexed. It is
+// immutable, so that requests read it through an atomic pointer without a lock.
+// Versions share unchanged parts, so that an update costs time proportional to what
+// changed.
 //
-// Operators write whole configurations. A control instance makes a table of each
-// ([Table.ApplyDocument]) and tells others the change that leads to it ([Update]). A table's digest
-// is a sum over its routes and services, so that it too is made of what changed; it
-// shows whether a change was applied to the right table and came out whole.
+// Operators write whole configurations. A control instance builds a table from each
+// ([Table.ApplyDocument]) and sends the change to other instances, which apply it to
+// their own table ([Update]). A table's digest is computed incrementally and shows
+// whether a change was applied to the right table and completely.
 //
-// A table also knows the customers and by whom each key is held, of which it has digests only.
+// A table also maps digests of keys to the customers that hold them.
 package routing
--- a/rockbarrow/routing/keys.go
+++ b/rockbarrow/routing/keys.go
@@ -8,11 +8,11 @@
 	"slices"
 )
 
-// keySize in bytes is what is kept of a key's digest. Two of 100,000 keys agree in it by chance once in
-// 10^19 configurations.
+// keySize is the size in bytes of a truncated key digest. Chance collisions are
+// negligible for any realistic number of keys.
 const keySize = 12
 
-// KeyDigest is the digest of a customer's key: what instances know of it. The first bytes of its SHA-256.
+// KeyDigest is the truncated SHA-256 of a customer's key.
 type KeyDigest [keySize]byte
 
 // DigestKey returns the digest of a key.
@@ -22,38 +22,38 @@
 }
 
 const (
-	// fanOut is the width of each of the two levels of an index of keys. A change of one key copies a node of
-	// each level and one bucket, which holds 25 of 100,000 keys.
+	// fanOut is the width of both levels of a key index. Changing a key copies one
+	// node of each level and one bucket.
 	fanOut     = 64
 	fanOutBits = 6
 )
 
-// keyEntry is a key with its customer. It has no pointers, so that the collector passes it over.
+// keyEntry maps a key to its customer. It contains no pointers, so that the garbage collector skips it.
 type keyEntry struct {
 	key KeyDigest
-	// slot is the customer's place in the table's customers.
+	// slot is the customer's position in the table's slots.
 	slot uint32
 }
 
-// keyNode is a node of the lower level.
+// keyNode is a node of the second level.
 type keyNode [fanOut][]keyEntry
 
-// keyIndex finds the customer of a key. It never changes: a [keyDraft] makes the next one, which shares with it
-// what is the same. The zero value is empty.
+// keyIndex is an immutable map of keys to customers. Versions share unchanged
+// nodes. The zero value is empty.
 type keyIndex struct {
 	nodes [fanOut]*keyNode
 	len   int
-	// sum is that of all keys with the names of their customers.
-	sum sum
+	// hash covers all keys with the names of their customers.
+	hash setHash
 }
 
-func (k KeyDigest) place() (node, bucket int) {
+func (k KeyDigest) position() (node, bucket int) {
 	return int(k[0] >> (8 - fanOutBits)), int(k[1] >> (8 - fanOutBits))
 }
 
-// find returns the customer's slot of a key.
+// find returns the slot of the customer that holds a key.
 func (x *keyIndex) find(k KeyDigest) (slot uint32, ok bool) {
-	node, bucket := k.place()
+	node, bucket := k.position()
 	if x.nodes[node] == nil {
 		return 0, false
 	}
@@ -69,7 +69,7 @@
 	return slices.BinarySearchFunc(entries, k, func(e keyEntry, k KeyDigest) int { return bytes.Compare(e.key[:], k[:]) })
 }
 
-// each calls f with all keys.
+// each calls f for all keys.
 func (x *keyIndex) each(f func(k KeyDigest, slot uint32)) {
 	for _, n := range x.nodes {
 		if n == nil {
@@ -83,45 +83,45 @@
 	}
 }
 
-// keyDraft is an index in the making.
-type keyDraft struct {
+// keyIndexTxn builds a modified copy of a key index.
+type keyIndexTxn struct {
 	index keyIndex
-	// own are the nodes, and ownBuckets the buckets, that were copied and may be written.
-	own        [fanOut]bool
-	ownBuckets map[[2]int]bool
+	// copiedNodes and copiedBuckets mark what has been copied and may be written.
+	copiedNodes   [fanOut]bool
+	copiedBuckets map[[2]int]bool
 }
 
-func (x *keyIndex) draft() *keyDraft {
-	return &keyDraft{index: *x, ownBuckets: map[[2]int]bool{}}
+func (x *keyIndex) begin() *keyIndexTxn {
+	return &keyIndexTxn{index: *x, copiedBuckets: map[[2]int]bool{}}
 }
 
-// bucket returns a bucket that may be written.
-func (d *keyDraft) bucket(k KeyDigest) *[]keyEntry {
-	node, bucket := k.place()
-	if !d.own[node] {
+// bucket returns the writable bucket of a key.
+func (d *keyIndexTxn) bucket(k KeyDigest) *[]keyEntry {
+	node, bucket := k.position()
+	if !d.copiedNodes[node] {
 		copied := &keyNode{}
 		if before := d.index.nodes[node]; before != nil {
 			*copied = *before
 		}
-		d.index.nodes[node], d.own[node] = copied, true
+		d.index.nodes[node], d.copiedNodes[node] = copied, true
 	}
 	entries := &d.index.nodes[node][bucket]
-	if at := [2]int{node, bucket}; !d.ownBuckets[at] {
+	if at := [2]int{node, bucket}; !d.copiedBuckets[at] {
 		*entries = slices.Clone(*entries)
-		d.ownBuckets[at] = true
+		d.copiedBuckets[at] = true
 	}
 	return entries
 }
 
-// put adds a key, or gives it to another customer.
-func (d *keyDraft) put(k KeyDigest, slot uint32, customers slots) {
+// put adds a key, or moves it to another customer.
+func (d *keyIndexTxn) put(k KeyDigest, slot uint32, customers slots) {
 	entries := d.bucket(k)
 	at, ok := search(*entries, k)
 	if ok {
-		d.index.sum.remove(keySum(k, customers.name((*entries)[at].slot)))
+		d.index.hash.remove(hashKey(k, customers.name((*entries)[at].slot)))
 		(*entries)[at].slot = slot
 	} else {
-		// Buckets have no room to spare, which would cost a third of the memory.
+		// Allocate the exact size: spare capacity would cost a third of the memory.
 		grown := make([]keyEntry, len(*entries)+1)
 		copy(grown, (*entries)[:at])
 		grown[at] = keyEntry{key: k, slot: slot}
@@ -129,11 +129,11 @@
 		*entries = grown
 		d.index.len++
 	}
-	d.index.sum.add(keySum(k, customers.name(slot)))
+	d.index.hash.add(hashKey(k, customers.name(slot)))
 }
 
-// remove takes a key out, if that customer holds it.
-func (d *keyDraft) remove(k KeyDigest, slot uint32, customers slots) {
+// remove removes a key if the customer in slot holds it.
+func (d *keyIndexTxn) remove(k KeyDigest, slot uint32, customers slots) {
 	if held, ok := d.index.find(k); !ok || held != slot {
 		return
 	}
@@ -141,7 +141,9 @@
 	at, _ := search(*entries, k)
 	*entries = slices.Delete(*entries, at, at+1)
 	d.index.len--
-	d.index.sum.remove(keySum(k, customers.name(slot)))
+	d.index.hash.remove(hashKey(k, customers.name(slot)))
 }
 
-func keySum(k KeyDigest, customer string) sum { return sumOf(keyKind, append(k[:], customer...)) }
+func hashKey(k KeyDigest, customer string) setHash {
+	return hashElement(keyKind, append(k[:], customer...))
+}
--- a/rockbarrow/routing/table.go
+++ b/rockbarrow/routing/table.go
@@ -10,28 +10,28 @@
 	"rockbarrow.dev/schema/fleetpb"
 )
 
-// Table is one version of the configuration. The nil table holds nothing.
+// Table is one version of the configuration. A nil table is empty.
 type Table struct {
 	version uint64
 	limits  *fleetpb.Limits
-	// limitsRaw is what the digest is made of.
-	limitsRaw []byte
-	// routes are by host and prefix, services by name.
-	routes    layer[*fleetpb.Route]
-	services  layer[*fleetpb.Service]
+	// encodedLimits enters the digest.
+	encodedLimits []byte
+	// routes are indexed by host and prefix, services by name.
+	routes    radixIndex[*fleetpb.Route]
+	services  radixIndex[*fleetpb.Service]
 	customers customers
 }
 
-// empty is the table that nil stands for.
-var empty = &Table{routes: newLayer[*fleetpb.Route](), services: newLayer[*fleetpb.Service](), customers: newCustomers()}
+// empty stands for the nil table.
+var empty = &Table{routes: newRadixIndex[*fleetpb.Route](), services: newRadixIndex[*fleetpb.Service](), customers: newCustomers()}
 
-// hostEnd ends the host in a route's key; no host holds it.
-const hostEnd = 0
+// hostTerminator ends the host in a route's key; hosts do not contain it.
+const hostTerminator = 0
 
-// routeKey returns the key of a route or, with a whole path, of a request.
+// routeKey returns the lookup key of a route's host and prefix, or of a request's host and path.
 func routeKey(buf []byte, host, path string) []byte {
 	buf = append(buf, host...)
-	buf = append(buf, hostEnd)
+	buf = append(buf, hostTerminator)
 	return append(buf, path...)
 }
 
@@ -42,40 +42,40 @@
 	return t
 }
 
-// Version returns the configuration's version, zero for no table.
+// Version returns the configuration's version, zero for the nil table.
 func (t *Table) Version() uint64 { return t.orEmpty().version }
 
 // RouteCount returns the number of routes.
 func (t *Table) RouteCount() int { return t.orEmpty().routes.tree.Len() }
 
-// Limits returns what clients may do.
+// Limits returns the limits for clients.
 func (t *Table) Limits() *fleetpb.Limits { return t.limits }
 
-// Service returns a service by name, or nil.
+// Service returns the service with the given name, or nil.
 func (t *Table) Service(name string) *fleetpb.Service {
 	s, _ := t.services.get([]byte(name))
 	return s
 }
 
-// Match returns the route of a host whose prefix is the longest that begins the
-// path. A host that is not known with its port is looked for without. The work goes with
-// the length of host and path, not with the number of routes.
+// Match returns the route of a host with the longest prefix of path. If no route
+// has the host with its port, the port is ignored. The lookup takes time
+// proportional to the length of host and path.
 func (t *Table) Match(host, path string) (*fleetpb.Route, bool) {
 	host = strings.ToLower(host)
 	if r, ok := t.match(host, path); ok {
 		return r, true
 	}
 	name, _, port := strings.Cut(host, ":")
-	if !port || t.knows(host) {
+	if !port || t.hasHost(host) {
 		return nil, false
 	}
 	return t.match(name, path)
 }
 
 func (t *Table) match(host, path string) (*fleetpb.Route, bool) {
-	// usual is more than most hosts and paths have, so that no memory is taken.
-	const usual = 256
-	var buf [usual]byte
+	// bufSize covers most keys without an allocation.
+	const bufSize = 256
+	var buf [bufSize]byte
 	_, found, ok := t.routes.tree.Root().LongestPrefix(routeKey(buf[:0], host, path))
 	if !ok {
 		return nil, false
@@ -83,17 +83,16 @@
 	return found.message, true
 }
 
-// knows reports whether a host has any route.
-func (t *Table) knows(host string) bool {
+// hasHost reports whether a host has any route.
+func (t *Table) hasHost(host string) bool {
 	it := t.routes.tree.Root().Iterator()
 	it.SeekPrefix(routeKey(nil, host, ""))
 	_, _, ok := it.Next()
 	return ok
 }
 
-// PickService returns the service that a key falls to, by the route's weights. The
-// same key keeps its service while the weights stay, so that a program finds its
-// cache again.
+// PickService returns the service that a key maps to by the route's weights. The
+// mapping is stable while the weights are, so that a program keeps its cache.
 func PickService(r *fleetpb.Route, key string) string {
 	shares := r.GetShares()
 	if len(shares) == 1 {
--- a/rockbarrow/routing/update.go
+++ b/rockbarrow/routing/update.go
@@ -13,40 +13,40 @@
 	"rockbarrow.dev/schema/fleetpb"
 )
 
-// BaseError says that a change does not begin with the table that it is applied to.
+// BaseError is returned if a change is based on another table than the one it is applied to.
 type BaseError struct{ want, got []byte }
 
-// Error names the two tables.
+// Error names both tables.
 func (e *BaseError) Error() string {
-	return "routing: a change of table " + short(e.got) + " was applied to " + short(e.want)
+	return "routing: change is based on table " + shortDigest(e.got) + ", not on " + shortDigest(e.want)
 }
 
-// DigestError says that another table came out of a change than was named.
+// DigestError is returned if applying a change yields another table than expected.
 type DigestError struct{ want, got []byte }
 
-// Error names the two tables.
+// Error names both tables.
 func (e *DigestError) Error() string {
-	return "routing: table " + short(e.got) + " came out where " + short(e.want) + " was named"
+	return "routing: change produced table " + shortDigest(e.got) + ", want " + shortDigest(e.want)
 }
 
-func short(digest []byte) string {
+func shortDigest(digest []byte) string {
 	if len(digest) == 0 {
 		return "none"
 	}
 	return hex.EncodeToString(digest[:min(4, len(digest))])
 }
 
-// Update makes a table from another one, part by part of a change. It never alters the
-// table that it began with. After an error it is of no further use.
+// Update builds a table from a base table and the parts of a change. The base is not
+// modified. After an error the update must be discarded.
 type Update struct {
-	before    *Table
-	routes    *draft[*fleetpb.Route]
-	services  *draft[*fleetpb.Service]
-	customers *customersDraft
+	base      *Table
+	routes    *radixTxn[*fleetpb.Route]
+	services  *radixTxn[*fleetpb.Service]
+	customers *customersTxn
 }
 
-// BeginUpdate starts an update of a table; a change without a base begins with nothing,
-// whatever the table.
+// BeginUpdate starts an update of t. An empty base starts from the empty table
+// instead.
 func (t *Table) BeginUpdate(base []byte) (*Update, error) {
 	t = t.orEmpty()
 	if len(base) == 0 {
@@ -55,14 +55,14 @@
 	if own := t.baseDigest(); !bytes.Equal(own, base) {
 		return nil, &BaseError{want: own, got: base}
 	}
-	return &Update{before: t, routes: t.routes.draft(), services: t.services.draft(), customers: t.customers.draft()}, nil
+	return &Update{base: t, routes: t.routes.begin(), services: t.services.begin(), customers: t.customers.begin()}, nil
 }
 
-// AddPart applies a part. It returns the table after the last one and nil before. The
-// configuration was checked by who made the change; that the outcome is the same is what
-// the digest shows.
+// AddPart applies a part. It returns the table after the last part, and nil before.
+// The sender has validated the configuration; the digest confirms that the result is
+// the same.
 func (u *Update) AddPart(part *fleetpb.TableChange) (*Table, error) {
-	if own := u.before.baseDigest(); !bytes.Equal(own, part.GetBase()) {
+	if own := u.base.baseDigest(); !bytes.Equal(own, part.GetBase()) {
 		return nil, &BaseError{want: own, got: part.GetBase()}
 	}
 	for _, raw := range part.GetServices() {
@@ -88,18 +88,18 @@
 func (u *Update) putService(raw []byte) error {
 	s := &fleetpb.Service{}
 	if err := proto.Unmarshal(raw, s); err != nil {
-		return errors.Wrap(err, "routing: a service of a change")
+		return errors.Wrap(err, "routing: decode service")
 	}
-	u.services.put([]byte(s.GetName()), s, sumOf(serviceKind, raw))
+	u.services.put([]byte(s.GetName()), s, hashElement(serviceKind, raw))
 	return nil
 }
 
 func (u *Update) putRoute(raw []byte) error {
 	r := &fleetpb.Route{}
 	if err := proto.Unmarshal(raw, r); err != nil {
-		return errors.Wrap(err, "routing: a route of a change")
+		return errors.Wrap(err, "routing: decode route")
 	}
-	u.routes.put(routeKey(nil, strings.ToLower(r.GetHost()), r.GetPrefix()), r, sumOf(routeKind, raw))
+	u.routes.put(routeKey(nil, strings.ToLower(r.GetHost()), r.GetPrefix()), r, hashElement(routeKind, raw))
 	return nil
 }
 
@@ -118,10 +118,10 @@
 func (u *Update) commit(last *fleetpb.TableChange) (*Table, error) {
 	limits := &fleetpb.Limits{}
 	if err := proto.Unmarshal(last.GetLimits(), limits); err != nil {
-		return nil, errors.Wrap(err, "routing: the limits of a change")
+		return nil, errors.Wrap(err, "routing: decode limits")
 	}
 	t := &Table{
-		version: last.GetVersion(), limits: limits, limitsRaw: last.GetLimits(),
+		version: last.GetVersion(), limits: limits, encodedLimits: last.GetLimits(),
 		routes: u.routes.commit(), services: u.services.commit(), customers: u.customers.commit(),
 	}
 	if own := t.Digest(); !bytes.Equal(own, last.GetDigest()) {
@@ -130,25 +130,25 @@
 	return t, nil
 }
 
-// partBytes is about how large one part is, before compression: 64 KB take 17 ms on a link of 30 Mbit/s.
-const partBytes = 64 << 10
+// targetPartBytes is the approximate size of a part before compression, small enough for slow links.
+const targetPartBytes = 64 << 10
 
-// SplitChange splits a change, so that a receiver sees progress and does not hold all of it. Customers are there
-// before their keys, and are taken out after them.
+// SplitChange splits a change into parts, so that receivers can observe progress and
+// need not hold all of it. Customers are added before their keys and removed after them.
 func SplitChange(c *fleetpb.TableChange) []*fleetpb.TableChange {
-	p := &parts{base: c.GetBase()}
-	p.open()
+	p := &partSplitter{base: c.GetBase()}
+	p.startPart()
 	p.last.Services, p.last.RemovedServices, p.last.RemovedRoutes = c.GetServices(), c.GetRemovedServices(), c.GetRemovedRoutes()
 	for _, raw := range c.GetCustomers() {
-		p.room(len(raw))
+		p.makeRoom(len(raw))
 		p.last.Customers = append(p.last.Customers, raw)
 	}
 	for _, k := range c.GetKeys() {
-		p.room(len(k.GetAdded()) + len(k.GetRemoved()))
+		p.makeRoom(len(k.GetAdded()) + len(k.GetRemoved()))
 		p.last.Keys = append(p.last.Keys, k)
 	}
 	for _, raw := range c.GetRoutes() {
-		p.room(len(raw))
+		p.makeRoom(len(raw))
 		p.last.Routes = append(p.last.Routes, raw)
 	}
 	p.last.RemovedCustomers = c.GetRemovedCustomers()
@@ -156,32 +156,32 @@
 	return p.all
 }
 
-// parts are those of a change in the making.
-type parts struct {
+// partSplitter collects the parts of a change.
+type partSplitter struct {
 	base []byte
 	all  []*fleetpb.TableChange
-	// last is the newest part, which holds so many bytes.
+	// last is the current part, and size its approximate size in bytes.
 	last *fleetpb.TableChange
 	size int
 }
 
-func (p *parts) open() {
+func (p *partSplitter) startPart() {
 	p.last, p.size = &fleetpb.TableChange{Base: p.base}, 0
 	p.all = append(p.all, p.last)
 }
 
-// room begins another part if the newest one is full, and counts what is to be added.
-func (p *parts) room(size int) {
-	if p.size >= partBytes {
-		p.open()
+// makeRoom starts another part if the current one is full, and accounts for size more bytes.
+func (p *partSplitter) makeRoom(size int) {
+	if p.size >= targetPartBytes {
+		p.startPart()
 	}
 	p.size += size
 }
 
-// Snapshot returns the change that makes this table of nothing.
+// Snapshot returns the change that builds t from the empty table.
 func (t *Table) Snapshot() (*fleetpb.TableChange, error) {
 	t = t.orEmpty()
-	c := &fleetpb.TableChange{Version: t.version, Limits: t.limitsRaw, Digest: t.Digest()}
+	c := &fleetpb.TableChange{Version: t.version, Limits: t.encodedLimits, Digest: t.Digest()}
 	var failed error
 	t.services.each(func(_ []byte, s *fleetpb.Service) bool {
 		var raw []byte
@@ -201,5 +201,5 @@
 	if failed != nil {
 		return nil, failed
 	}
-	return c, t.wholeCustomers(c)
+	return c, t.addCustomersTo(c)
 }
--- a/rockbarrow/routing/update_test.go
+++ b/rockbarrow/routing/update_test.go
@@ -16,8 +16,8 @@
 	"rockbarrow.dev/schema/fleetpb"
 )
 
-// changed returns a document that differs from another one in a few drawn places.
-func changed(r *rand.Rand, d *fleetpb.Document) *fleetpb.Document {
+// mutateDocument returns a copy of a document with random changes.
+func mutateDocument(r *rand.Rand, d *fleetpb.Document) *fleetpb.Document {
 	out := proto.Clone(d).(*fleetpb.Document)
 	out.Version++
 	out.Limits = &fleetpb.Limits{BodyBytes: r.Uint32N(3)}
@@ -28,7 +28,7 @@
 		n := r.IntN(1000)
 		key := fmt.Sprintf("/%x/", n/5)
 		if !slices.ContainsFunc(out.Routes, func(o *fleetpb.Route) bool { return o.GetHost() == "Added" && o.GetPrefix() == key }) {
-			out.Routes = append(out.Routes, route(fmt.Sprintf("a%d", n), "Added", key))
+			out.Routes = append(out.Routes, newRoute(fmt.Sprintf("a%d", n), "Added", key))
 		}
 	}
 	for range r.IntN(5) {
@@ -48,8 +48,8 @@
 	return out
 }
 
-// apply makes a table of what a change's parts are on the way.
-func apply(t *testing.T, held *Table, c *fleetpb.TableChange) (*Table, error) {
+// applyParts encodes and decodes the parts of a change and applies them to a table.
+func applyParts(t *testing.T, held *Table, c *fleetpb.TableChange) (*Table, error) {
 	t.Helper()
 	u, err := held.BeginUpdate(c.GetBase())
 	if err != nil {
@@ -69,24 +69,24 @@
 			return out, err
 		}
 	}
-	return nil, errors.New("the last part is missing")
+	return nil, errors.New("no part completed the change")
 }
 
-// follow returns the tables of control and of an entry instance that follow under a document.
-func follow(t *testing.T, seed uint64, control, entry *Table, d *fleetpb.Document) (next, followed *Table) {
+// applyDocument returns the next tables of a control instance and of an entry instance that receives its change.
+func applyDocument(t *testing.T, seed uint64, control, entry *Table, d *fleetpb.Document) (next, followed *Table) {
 	t.Helper()
 	next, change, err := control.ApplyDocument(d)
 	if err != nil {
 		t.Fatalf("seed %d: %v", seed, err)
 	}
-	if followed, err = apply(t, entry, change); err != nil {
+	if followed, err = applyParts(t, entry, change); err != nil {
 		t.Fatalf("seed %d: %v", seed, err)
 	}
 	return next, followed
 }
 
-// slow is what a request's route is by the definition: of all routes.
-func slow(d *fleetpb.Document, host, path string) *fleetpb.Route {
+// matchByScan finds a request's route by scanning all routes.
+func matchByScan(d *fleetpb.Document, host, path string) *fleetpb.Route {
 	find := func(host string) (best *fleetpb.Route, known bool) {
 		for _, r := range d.GetRoutes() {
 			if strings.ToLower(r.GetHost()) != host {
@@ -108,12 +108,12 @@
 	return r
 }
 
-// TestChangesLeadToTheSameTable: a table that follows changes and one made of the whole are
-// the same at every version, route by route, also by the definition of a route.
+// TestChangesLeadToTheSameTable guards against tables that diverge from the
+// configuration when changes are applied.
 func TestChangesLeadToTheSameTable(t *testing.T) {
 	for seed := range uint64(8) {
 		r := rand.New(rand.NewPCG(seed, 1))
-		d := document(r.IntN(40), 3)
+		d := newDocument(r.IntN(40), 3)
 		control, err := New(d)
 		if err != nil {
 			t.Fatal(err)
@@ -122,16 +122,16 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		entry, err := apply(t, nil, whole)
+		entry, err := applyParts(t, nil, whole)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for range 15 {
-			d = changed(r, d)
+			d = mutateDocument(r, d)
 			before := entry.Digest()
-			next, followed := follow(t, seed, control, entry, d)
+			next, followed := applyDocument(t, seed, control, entry, d)
 			if !bytes.Equal(entry.Digest(), before) || entry.Version() == followed.Version() {
-				t.Fatal("the table before was altered")
+				t.Fatal("the base table was modified")
 			}
 			fresh, err := New(d)
 			if err != nil {
@@ -140,12 +140,12 @@
 			if !bytes.Equal(followed.Digest(), fresh.Digest()) || !bytes.Equal(followed.Digest(), next.Digest()) {
 				t.Fatalf("seed %d: tables differ at version %d", seed, d.GetVersion())
 			}
-			for _, o := range append(d.GetRoutes(), route("none", "none.example:80", "/x/")) {
+			for _, o := range append(d.GetRoutes(), newRoute("none", "none.example:80", "/x/")) {
 				for _, host := range []string{o.GetHost(), o.GetHost() + ":80"} {
 					path := o.GetPrefix() + "1/"
 					got, _ := followed.Match(host, path)
-					if want := slow(d, host, path); !proto.Equal(got, want) {
-						t.Fatalf("seed %d: %s%s leads to %v, want %v", seed, host, path, got, want)
+					if want := matchByScan(d, host, path); !proto.Equal(got, want) {
+						t.Fatalf("seed %d: %s%s matches %v, want %v", seed, host, path, got, want)
 					}
 				}
 			}
@@ -159,37 +159,36 @@
 	}
 }
 
-// TestALargeChangeComesInParts: no part is much larger than what a slow link carries in
-// some ten milliseconds.
+// TestALargeChangeComesInParts guards against parts that are too large for a slow link.
 func TestALargeChangeComesInParts(t *testing.T) {
-	table, change, err := (*Table)(nil).ApplyDocument(document(5000, 1))
+	table, change, err := (*Table)(nil).ApplyDocument(newDocument(5000, 1))
 	if err != nil {
 		t.Fatal(err)
 	}
 	parts := SplitChange(change)
 	if len(parts) < 4 {
-		t.Errorf("5,000 routes came in %d parts", len(parts))
+		t.Errorf("5,000 routes were split into %d parts", len(parts))
 	}
 	for i, p := range parts {
-		if proto.Size(p) > 2*partBytes {
+		if proto.Size(p) > 2*targetPartBytes {
 			t.Errorf("part %d has %d bytes", i, proto.Size(p))
 		}
 		if last := len(p.GetDigest()) > 0; last != (i == len(parts)-1) {
-			t.Errorf("part %d is the last one: %v", i, last)
+			t.Errorf("part %d has a digest: %v", i, last)
 		}
 	}
-	if got, err := apply(t, nil, change); err != nil || !bytes.Equal(got.Digest(), table.Digest()) {
+	if got, err := applyParts(t, nil, change); err != nil || !bytes.Equal(got.Digest(), table.Digest()) {
 		t.Errorf("another table came out: %v", err)
 	}
 }
 
-// TestAWrongChangeIsNoticed: nothing of a change that does not fit comes into force.
+// TestAWrongChangeIsNoticed guards against applying a change to the wrong table or incompletely.
 func TestAWrongChangeIsNoticed(t *testing.T) {
-	first, err := New(document(10, 2))
+	first, err := New(newDocument(10, 2))
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := document(11, 2)
+	d := newDocument(11, 2)
 	d.Version = 2
 	_, change, err := first.ApplyDocument(d)
 	if err != nil {
@@ -197,7 +196,7 @@
 	}
 	t.Run("another base", func(t *testing.T) {
 		var wrong *BaseError
-		if _, err := apply(t, nil, change); !errors.As(err, &wrong) {
+		if _, err := applyParts(t, nil, change); !errors.As(err, &wrong) {
 			t.Errorf("%v, want a BaseError", err)
 		}
 	})
@@ -215,15 +214,15 @@
 		short := proto.Clone(change).(*fleetpb.TableChange)
 		short.Routes = short.Routes[:len(short.Routes)-1]
 		var wrong *DigestError
-		if _, err := apply(t, first, short); !errors.As(err, &wrong) {
+		if _, err := applyParts(t, first, short); !errors.As(err, &wrong) {
 			t.Errorf("%v, want a DigestError", err)
 		}
 	})
-	t.Run("a route is not readable", func(t *testing.T) {
+	t.Run("a route cannot be decoded", func(t *testing.T) {
 		torn := proto.Clone(change).(*fleetpb.TableChange)
 		torn.Routes[0] = []byte{0xff}
-		if _, err := apply(t, first, torn); err == nil {
-			t.Error("taken")
+		if _, err := applyParts(t, first, torn); err == nil {
+			t.Error("the change was applied")
 		}
 	})
 }
@@ -244,33 +243,34 @@
 		{"a service without a name", func(d *fleetpb.Document) { d.Services[0].Name = "" }},
 		{"a service that is still used", func(d *fleetpb.Document) { d.Services = nil }},
 	}
-	before, err := New(document(4, 1))
+	before, err := New(newDocument(4, 1))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			d := document(4, 1)
+			d := newDocument(4, 1)
 			test.edit(d)
 			var invalid *InvalidError
 			if _, err := New(d); !errors.As(err, &invalid) {
-				t.Errorf("of nothing: %v, want an InvalidError", err)
+				t.Errorf("New: %v, want an InvalidError", err)
 			}
 			if _, _, err := before.ApplyDocument(d); !errors.As(err, &invalid) {
-				t.Errorf("of the table before: %v, want an InvalidError", err)
+				t.Errorf("ApplyDocument: %v, want an InvalidError", err)
 			}
 		})
 	}
 }
 
-// oneMore returns a table of n routes on so many hosts, and the change to one more.
-func oneMore(tb testing.TB, n, hosts int) (*Table, *fleetpb.TableChange) {
+// newTableWithChange returns a table of n routes on the given number of hosts, and
+// the change that adds one route.
+func newTableWithChange(tb testing.TB, n, hosts int) (*Table, *fleetpb.TableChange) {
 	tb.Helper()
-	table, err := New(document(n, hosts))
+	table, err := New(newDocument(n, hosts))
 	if err != nil {
 		tb.Fatal(err)
 	}
-	d := document(n+1, hosts)
+	d := newDocument(n+1, hosts)
 	d.Version = 2
 	_, change, err := table.ApplyDocument(d)
 	if err != nil {
@@ -279,12 +279,11 @@
 	return table, change
 }
 
-// TestAChangeOfOneRouteCostsTheSameAmongMany: an instance has a fifth of a core, and each
-// change of anything made it read and index all that is configured. Work is counted in
-// allocations, which do not depend on the machine.
+// TestAChangeOfOneRouteCostsTheSameAmongMany guards against updates whose cost grows
+// with the configuration. It counts allocations, which do not depend on the machine.
 func TestAChangeOfOneRouteCostsTheSameAmongMany(t *testing.T) {
 	allocations := func(n, hosts int) float64 {
-		table, change := oneMore(t, n, hosts)
+		table, change := newTableWithChange(t, n, hosts)
 		return testing.AllocsPerRun(10, func() {
 			u, err := table.BeginUpdate(change.GetBase())
 			if err != nil {
@@ -296,7 +295,7 @@
 		})
 	}
 	for _, hosts := range []int{1, 1000} {
-		// most allows for a few more levels of the trees.
+		// most allows for additional levels of the trees.
 		const most = 2
 		if few, many := allocations(1000, hosts), allocations(10000, hosts); many > most*few {
 			t.Errorf("on %d hosts: %.0f allocations among 10,000 routes, %.0f among 1,000", hosts, many, few)
@@ -305,7 +304,7 @@
 }
 
 func FuzzAdd(f *testing.F) {
-	table, change := oneMore(f, 20, 2)
+	table, change := newTableWithChange(f, 20, 2)
 	b, err := proto.Marshal(change)
 	if err != nil {
 		f.Fatal(err)
@@ -324,28 +323,28 @@
 		}
 		out, err := u.AddPart(c)
 		if err == nil && out != nil && !bytes.Equal(out.Digest(), c.GetDigest()) {
-			t.Error("a table was taken that has another digest")
+			t.Error("a table with another digest was accepted")
 		}
 		if !bytes.Equal(table.Digest(), before) {
-			t.Error("the table before was altered")
+			t.Error("the base table was modified")
 		}
 	})
 }
 
-// sizes are the numbers of routes of the benchmarks, all on one host and on a host each.
-var sizes = []int{1000, 10000, 100000}
+// routeCounts are the numbers of routes in benchmarks, on one host and on one host each.
+var routeCounts = []int{1000, 10000, 100000}
 
-func eachSize(b *testing.B, f func(b *testing.B, n, hosts int)) {
-	for _, n := range sizes {
+func forEachRouteCount(b *testing.B, f func(b *testing.B, n, hosts int)) {
+	for _, n := range routeCounts {
 		b.Run(fmt.Sprintf("routes=%d/hosts=1", n), func(b *testing.B) { f(b, n, 1) })
 		b.Run(fmt.Sprintf("routes=%d/hosts=%d", n, n), func(b *testing.B) { f(b, n, n) })
 	}
 }
 
-// BenchmarkNew indexes a whole configuration, as an instance does after its start.
+// BenchmarkNew measures indexing a whole configuration.
 func BenchmarkNew(b *testing.B) {
-	eachSize(b, func(b *testing.B, n, hosts int) {
-		d := document(n, hosts)
+	forEachRouteCount(b, func(b *testing.B, n, hosts int) {
+		d := newDocument(n, hosts)
 		for b.Loop() {
 			if _, err := New(d); err != nil {
 				b.Fatal(err)
@@ -354,14 +353,14 @@
 	})
 }
 
-// BenchmarkNext is a control instance's work for a whole configuration with one route more.
+// BenchmarkNext measures applying a whole configuration with one more route.
 func BenchmarkNext(b *testing.B) {
-	eachSize(b, func(b *testing.B, n, hosts int) {
-		table, err := New(document(n, hosts))
+	forEachRouteCount(b, func(b *testing.B, n, hosts int) {
+		table, err := New(newDocument(n, hosts))
 		if err != nil {
 			b.Fatal(err)
 		}
-		d := document(n+1, hosts)
+		d := newDocument(n+1, hosts)
 		for b.Loop() {
 			if _, _, err := table.ApplyDocument(d); err != nil {
 				b.Fatal(err)
@@ -370,10 +369,10 @@
 	})
 }
 
-// BenchmarkChange is an entry instance's work for one route more.
+// BenchmarkChange measures applying a change that adds one route.
 func BenchmarkChange(b *testing.B) {
-	eachSize(b, func(b *testing.B, n, hosts int) {
-		table, change := oneMore(b, n, hosts)
+	forEachRouteCount(b, func(b *testing.B, n, hosts int) {
+		table, change := newTableWithChange(b, n, hosts)
 		for b.Loop() {
 			u, err := table.BeginUpdate(change.GetBase())
 			if err != nil {
@@ -386,10 +385,10 @@
 	})
 }
 
-// BenchmarkMatch is a request's.
+// BenchmarkMatch measures the lookup of a request's route.
 func BenchmarkMatch(b *testing.B) {
-	eachSize(b, func(b *testing.B, n, hosts int) {
-		table, err := New(document(n, hosts))
+	forEachRouteCount(b, func(b *testing.B, n, hosts int) {
+		table, err := New(newDocument(n, hosts))
 		if err != nil {
 			b.Fatal(err)
 		}
