--- a/rockbarrow/controller/controller.go
+++ b/rockbarrow/controller/controller.go
@@ -142,8 +142,8 @@
 		Self: c.Self, Role: fleetpb.Role_ROLE_CONTROL,
 		Seeds: c.Seeds, Pool: c.Pool, Log: c.Log, LongPollTimeout: peerHold, OnChange: c.publish,
 		Relayed:   c.relayed,
-		Documents: document.Cache{Keep: keptDocuments, Log: c.Log},
-		Lists:     document.Cache{Keep: keptDocuments, Log: c.Log},
+		Documents: document.Cache{Capacity: keptDocuments, Log: c.Log},
+		Lists:     document.Cache{Capacity: keptDocuments, Log: c.Log},
 	}
 	if len(c.FirstSeeds) == 0 {
 		c.FirstSeeds = c.Seeds
@@ -153,7 +153,7 @@
 		Storage: c.Self.GetStorage(), Founder: c.Founder, Seeds: c.FirstSeeds, Losses: c.Losses,
 	}
 	if record != nil {
-		c.watch.Documents.Add(record.GetState())
+		c.watch.Documents.AddState(record.GetState())
 		c.acceptor.Restore(record)
 		c.saved.Store(record)
 		c.sawRound(record.GetPromised().GetRound())
--- a/rockbarrow/document/cache.go
+++ b/rockbarrow/document/cache.go
@@ -49,8 +49,8 @@
 // Cache is the documents that a process has met lately. The zero value is ready and
 // keeps two. It is safe for concurrent use.
 type Cache struct {
-	// Keep is how many documents it keeps; zero means two.
-	Keep int
+	// Capacity is how many documents it keeps; zero means two.
+	Capacity int
 	// Log is told of differences that can't be made; nil is nobody.
 	Log *logrus.Entry
 
@@ -65,9 +65,9 @@
 
 type made struct{ base, digest, frame []byte }
 
-// Add keeps the document of a state, which may be nil. To a state of version 0.2.0, which
+// AddState keeps the document of a state, which may be nil. To a state of version 0.2.0, which
 // has no digest, it gives one; no one else may have such a state yet.
-func (c *Cache) Add(st *fleetpb.State) {
+func (c *Cache) AddState(st *fleetpb.State) {
 	cfg := st.GetConfiguration()
 	if len(cfg.GetDocument()) == 0 {
 		return
@@ -88,7 +88,7 @@
 		return
 	}
 	c.documents = append(c.documents, named{digest: digest, document: document})
-	keep := c.Keep
+	keep := c.Capacity
 	if keep == 0 {
 		keep = kept
 	}
--- a/rockbarrow/document/cache_test.go
+++ b/rockbarrow/document/cache_test.go
@@ -48,9 +48,9 @@
 // thousand others; what is sent grows with the change and not with the document.
 func TestAChangeTravelsAsItsDifference(t *testing.T) {
 	const n = 1000
-	sender, receiver := &Cache{Keep: 8}, &Cache{}
+	sender, receiver := &Cache{Capacity: 8}, &Cache{}
 	before := routes(1, n)
-	sender.Add(before)
+	sender.AddState(before)
 	whole, err := receiver.UnpackState(received(t, before))
 	if err != nil {
 		t.Fatal(err)
@@ -60,7 +60,7 @@
 	}
 	for v := uint64(2); v < 6; v++ {
 		next := routes(v, n+int(v))
-		sender.Add(next)
+		sender.AddState(next)
 		message := sender.PackState(next, receiver.Held())
 		if size := proto.Size(message); size > 1000 {
 			t.Errorf("%d bytes were sent for one route of a document of %d", size, len(next.GetConfiguration().GetDocument()))
@@ -79,7 +79,7 @@
 func TestADocumentThatIsHeldIsLeftOut(t *testing.T) {
 	sender, receiver := &Cache{}, &Cache{}
 	st := routes(1, 100)
-	sender.Add(st)
+	sender.AddState(st)
 	if _, err := receiver.UnpackState(received(t, st)); err != nil {
 		t.Fatal(err)
 	}
@@ -99,7 +99,7 @@
 func TestWhoTellsNothingGetsTheWhole(t *testing.T) {
 	s := &Cache{}
 	st := routes(1, 10)
-	s.Add(st)
+	s.AddState(st)
 	if s.PackState(st, nil) != st {
 		t.Error("a state was packed for a receiver that can't read it")
 	}
@@ -115,7 +115,7 @@
 func TestWhoHoldsNothingGetsItCompressed(t *testing.T) {
 	sender, receiver := &Cache{}, &Cache{}
 	st := routes(1, 1000)
-	sender.Add(st)
+	sender.AddState(st)
 	message := sender.PackState(st, receiver.Held())
 	if proto.Size(message) > len(st.GetConfiguration().GetDocument())/3 {
 		t.Error("the document was not compressed")
@@ -126,16 +126,16 @@
 }
 
 func TestAnUnreadableDocumentIsNoticed(t *testing.T) {
-	sender := &Cache{Keep: 8}
+	sender := &Cache{Capacity: 8}
 	one, two, three := routes(1, 50), routes(2, 51), routes(3, 52)
 	for _, st := range []*fleetpb.State{one, two, three} {
-		sender.Add(st)
+		sender.AddState(st)
 	}
 	at := func(held *fleetpb.State) *fleetpb.State {
 		return received(t, sender.PackState(three, &fleetpb.Held{Digests: [][]byte{held.GetConfiguration().GetDigest()}}))
 	}
 	receiver := &Cache{}
-	receiver.Add(one)
+	receiver.AddState(one)
 
 	t.Run("the base is not held", func(t *testing.T) {
 		_, err := receiver.UnpackState(at(two))
@@ -183,11 +183,11 @@
 // TestTwoSendersTellTheSame: two control instances answer with differences against a
 // base that the first answer has replaced.
 func TestTwoSendersTellTheSame(t *testing.T) {
-	sender, receiver := &Cache{Keep: 8}, &Cache{Keep: 1}
+	sender, receiver := &Cache{Capacity: 8}, &Cache{Capacity: 1}
 	one, two := routes(1, 50), routes(2, 51)
-	sender.Add(one)
-	sender.Add(two)
-	receiver.Add(one)
+	sender.AddState(one)
+	sender.AddState(two)
+	receiver.AddState(one)
 	m := sender.PackState(two, receiver.Held())
 	for range 2 {
 		if got, err := receiver.UnpackState(received(t, m)); err != nil || !proto.Equal(got, two) {
@@ -202,7 +202,7 @@
 	for i := range 3000 {
 		l.Endpoints = append(l.Endpoints, &fleetpb.Endpoint{Id: fmt.Sprintf("i-%x", i*1299709), Service: "s", Address: fmt.Sprintf("10.1.%d.%d:80", i/250, i%250), Slots: 6})
 	}
-	sender, receiver := &Cache{Keep: 8}, &Cache{}
+	sender, receiver := &Cache{Capacity: 8}, &Cache{}
 	tell := func(l *fleetpb.EndpointList) int {
 		t.Helper()
 		made, err := NewList(l)
@@ -237,7 +237,7 @@
 	f.Add(frame[:9], []byte(nil), next.GetConfiguration().GetDigest(), []byte("x"))
 	f.Fuzz(func(t *testing.T, frame, baseDigest, digest, doc []byte) {
 		s := &Cache{}
-		s.Add(base)
+		s.AddState(base)
 		st := &fleetpb.State{Configuration: &fleetpb.Configuration{Digest: digest, Base: baseDigest, Difference: frame, Document: doc}}
 		got, err := s.UnpackState(st)
 		if err != nil {
@@ -257,7 +257,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		s := &Cache{}
-		s.Add(before)
+		s.AddState(before)
 		s.PackState(next, s.Held())
 	}
 }
@@ -266,12 +266,12 @@
 func BenchmarkUnpack(b *testing.B) {
 	before, next := routes(1, 1000), routes(2, 1001)
 	sender := &Cache{}
-	sender.Add(before)
+	sender.AddState(before)
 	packed := sender.PackState(next, sender.Held())
 	b.ReportAllocs()
 	for b.Loop() {
 		s := &Cache{}
-		s.Add(before)
+		s.AddState(before)
 		if _, err := s.UnpackState(proto.Clone(packed).(*fleetpb.State)); err != nil {
 			b.Fatal(err)
 		}
--- a/rockbarrow/watch/received.go
+++ b/rockbarrow/watch/received.go
@@ -41,7 +41,7 @@
 			return false
 		}
 		if c.state.CompareAndSwap(old, s) {
-			c.Documents.Add(s)
+			c.Documents.AddState(s)
 			c.Log.WithFields(logrus.Fields{
 				"state": s.GetNumber(), "config_version": s.GetConfiguration().GetVersion(),
 				"view": s.GetView().GetEpoch(), "stores": len(s.GetView().GetMembers()),
