--- a/rockbarrow/controller/controller_test.go
+++ b/rockbarrow/controller/controller_test.go
@@ -73,7 +73,7 @@
 		p.t.Fatal(err)
 	}
 	p.controller = c
-	g := dial.Server()
+	g := dial.NewServer()
 	fleetpb.RegisterControlServer(g, c)
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
--- a/rockbarrow/dial/dial.go
+++ b/rockbarrow/dial/dial.go
@@ -145,8 +145,8 @@
 	}
 }
 
-// Sweep closes connections that were not used for long.
-func (p *Pool) Sweep(now time.Time) {
+// CloseIdle closes connections that were not used for long.
+func (p *Pool) CloseIdle(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for address, c := range p.conns {
@@ -167,8 +167,8 @@
 	p.conns, p.closed = nil, true
 }
 
-// Server returns a gRPC server with the buffers that fit the pool's messages.
-func Server() *grpc.Server {
+// NewServer returns a gRPC server with the buffers that fit the pool's messages.
+func NewServer() *grpc.Server {
 	return grpc.NewServer(
 		grpc.NumStreamWorkers(streamWorkers),
 		grpc.ReadBufferSize(bufferSize), grpc.WriteBufferSize(bufferSize),
--- a/rockbarrow/dial/silence_test.go
+++ b/rockbarrow/dial/silence_test.go
@@ -66,7 +66,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g := Server()
+	g := NewServer()
 	grpc_health_v1.RegisterHealthServer(g, health.NewServer())
 	go g.Serve(l)
 	t.Cleanup(g.Stop)
--- a/rockbarrow/entry/stores_test.go
+++ b/rockbarrow/entry/stores_test.go
@@ -111,7 +111,7 @@
 			t.Fatal(err)
 		}
 		w.OnChange = s.Wake
-		g := dial.Server()
+		g := dial.NewServer()
 		fleetpb.RegisterStoreServer(g, s)
 		ctx, cancel := context.WithCancel(context.Background())
 		go s.Run(ctx)
--- a/rockbarrow/store/copier_test.go
+++ b/rockbarrow/store/copier_test.go
@@ -55,7 +55,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		g := dial.Server()
+		g := dial.NewServer()
 		fleetpb.RegisterStoreServer(g, sources[i])
 		go g.Serve(l)
 		t.Cleanup(g.Stop)
--- a/rockbarrow/stores/group_test.go
+++ b/rockbarrow/stores/group_test.go
@@ -96,7 +96,7 @@
 	}
 	p.store = s
 	p.watch.OnChange = s.Wake
-	g := dial.Server()
+	g := dial.NewServer()
 	fleetpb.RegisterStoreServer(g, &counted{Store: s, reserves: &p.reserves})
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
--- a/rockbarrow/watch/table_test.go
+++ b/rockbarrow/watch/table_test.go
@@ -64,7 +64,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g := dial.Server()
+	g := dial.NewServer()
 	fleetpb.RegisterControlServer(g, s)
 	go func() {
 		// Serve returns an error after the test stops the server.
--- a/rockbarrow/watch/watch.go
+++ b/rockbarrow/watch/watch.go
@@ -114,7 +114,7 @@
 	for {
 		select {
 		case now := <-sweep.C:
-			c.Pool.Sweep(now)
+			c.Pool.CloseIdle(now)
 		case now := <-choose.C:
 			c.mu.Lock()
 			c.expireTargets(now)
