--- a/rockbarrow/controller/controller.go
+++ b/rockbarrow/controller/controller.go
@@ -140,10 +140,10 @@
 	c.reach.Store(&fleetpb.Reach{FailureDomains: []string{c.Self.GetFailureDomain()}, AllRelay: true})
 	c.watch = &watch.Client{
 		Self: c.Self, Role: fleetpb.Role_ROLE_CONTROL,
-		Seeds: c.Seeds, Pool: c.Pool, Log: c.Log, Hold: peerLongPoll, Changed: c.notifyWatchers,
+		Seeds: c.Seeds, Pool: c.Pool, Log: c.Log, LongPollTimeout: peerLongPoll, OnChange: c.notifyWatchers,
 		Relayed:   c.relayReports,
-		Documents: document.Cache{Keep: documentCacheSize, Log: c.Log},
-		Lists:     document.Cache{Keep: documentCacheSize, Log: c.Log},
+		Documents: document.Cache{Capacity: documentCacheSize, Log: c.Log},
+		Lists:     document.Cache{Capacity: documentCacheSize, Log: c.Log},
 	}
 	if len(c.InitialSeeds) == 0 {
 		c.InitialSeeds = c.Seeds
@@ -153,7 +153,7 @@
 		Storage: c.Self.GetStorage(), Founder: c.Founder, Seeds: c.InitialSeeds, FaultTolerance: c.FaultTolerance,
 	}
 	if record != nil {
-		c.watch.Documents.Add(record.GetState())
+		c.watch.Documents.AddState(record.GetState())
 		c.acceptor.Restore(record)
 		c.savedRecord.Store(record)
 		c.observeRound(record.GetPromised().GetRound())
@@ -196,7 +196,7 @@
 func (c *Controller) HasState() bool { return c.State() != nil }
 
 // Endpoints returns the newest list of endpoints and the time at which it was read.
-func (c *Controller) Endpoints() *watch.Reading { return c.watch.List() }
+func (c *Controller) Endpoints() *watch.ListSnapshot { return c.watch.List() }
 
 // notifyWatchers wakes pending Watch calls.
 func (c *Controller) notifyWatchers() {
@@ -252,7 +252,7 @@
 			return nil, &UnavailableError{Cause: errors.New("the voters hold no state yet")}
 		}
 		storeMax(&c.originatedState, s.GetNumber())
-		c.watch.Offer(s)
+		c.watch.UpdateState(s)
 		return s, nil
 	}
 }
--- a/rockbarrow/controller/coordinator.go
+++ b/rockbarrow/controller/coordinator.go
@@ -125,7 +125,7 @@
 	}
 	d.lastLogged = now
 	c.Log.WithFields(logrus.Fields{
-		"seeds": c.Seeds, "heard": instanceNames(c.watch.Control(seedTimeout)), "founder": c.Founder, "rank": c.rank(now),
+		"seeds": c.Seeds, "heard": instanceNames(c.watch.ControlInstances(seedTimeout)), "founder": c.Founder, "rank": c.rank(now),
 		"holds_state": c.savedRecord.Load().GetState().GetNumber(),
 	}).Warn("no deployment is known yet")
 }
--- a/rockbarrow/controller/customers.go
+++ b/rockbarrow/controller/customers.go
@@ -34,15 +34,15 @@
 // customers are known.
 func (c *Controller) customerCounts(now time.Time) *fleetpb.CustomerCounts {
 	t := c.tables.table()
-	if t.Customers() == 0 {
+	if t.CustomerCount() == 0 {
 		return nil
 	}
-	return &fleetpb.CustomerCounts{Counts: c.quotas.Counts(now, t.CustomerNamed)}
+	return &fleetpb.CustomerCounts{Counts: c.quotas.Counts(now, t.CustomerByName)}
 }
 
 // Admit counts a customer's requests against its quota.
 func (c *Controller) Admit(_ context.Context, req *fleetpb.AdmitRequest) (*fleetpb.AdmitReply, error) {
-	customer := c.tables.table().CustomerNamed(req.GetCustomer())
+	customer := c.tables.table().CustomerByName(req.GetCustomer())
 	if customer == nil {
 		// The customer is not known yet, or was removed.
 		return &fleetpb.AdmitReply{Unsure: true}, nil
@@ -67,9 +67,9 @@
 func (c *Controller) Customers(context.Context, *fleetpb.CustomersRequest) (*fleetpb.CustomersReply, error) {
 	now, t := time.Now(), c.tables.table()
 	out := &fleetpb.CustomersReply{Version: t.Version()}
-	t.EachCustomer(func(h routing.Held) bool {
+	t.EachCustomer(func(h routing.CustomerKeys) bool {
 		if len(out.Customers) == maxReportedCustomers {
-			out.LeftOut = uint32(t.Customers() - maxReportedCustomers)
+			out.LeftOut = uint32(t.CustomerCount() - maxReportedCustomers)
 			return false
 		}
 		u := c.quotas.Usage(now, h.Customer)
--- a/rockbarrow/controller/customers_test.go
+++ b/rockbarrow/controller/customers_test.go
@@ -67,7 +67,9 @@
 func TestRepliesTellWhatLeasesAndQuotasRestOn(t *testing.T) {
 	p := startCluster(t)[0]
 	putConfiguration(t, p, 1, keyedDocument(t, 1))
-	waitFor(t, func() bool { return p.controller.RoutingTable().Customers() == 2 && p.controller.Endpoints() != nil })
+	waitFor(t, func() bool {
+		return p.controller.RoutingTable().CustomerCount() == 2 && p.controller.Endpoints() != nil
+	})
 	watch := func(p *testInstance) *fleetpb.WatchReply {
 		r, err := p.controller.Watch(t.Context(), &fleetpb.WatchRequest{Sender: &fleetpb.Member{Instance: "entry"}, Role: fleetpb.Role_ROLE_ENTRY, WantsLoads: true})
 		if err != nil {
@@ -100,7 +102,7 @@
 	p.controller.quotas.Params = quota.Params{Window: 1024 * time.Second}
 	p.controller.quotas.Start(time.Now().Add(-time.Hour))
 	putConfiguration(t, p, 1, keyedDocument(t, 1))
-	waitFor(t, func() bool { return p.controller.RoutingTable().Customers() == 2 })
+	waitFor(t, func() bool { return p.controller.RoutingTable().CustomerCount() == 2 })
 	now := time.Now()
 	for i, heard := range []time.Time{now, now, now, now.Add(-5 * time.Second)} {
 		p.controller.presence.recordCall(heard, &fleetpb.WatchRequest{Sender: &fleetpb.Member{Instance: fmt.Sprint("entry-", i), FailureDomain: "a"}, Role: fleetpb.Role_ROLE_ENTRY, Serves: true})
@@ -126,7 +128,7 @@
 // window.
 func keyedDocument(t *testing.T, version uint64) string {
 	t.Helper()
-	k := routing.KeyOf("secret")
+	k := routing.DigestKey("secret")
 	b, err := proto.Marshal(&fleetpb.Document{Version: version, Customers: []*fleetpb.Customer{
 		{Name: "a", Keys: [][]byte{k[:]}, RequestsPerSecond: 8.0 / 1024, Burst: 2}, {Name: "b"},
 	}})
@@ -142,7 +144,7 @@
 	p.controller.quotas.Params = quota.Params{Window: 1024 * time.Second}
 	p.controller.quotas.Start(time.Now().Add(-time.Hour))
 	putConfiguration(t, p, 1, keyedDocument(t, 1))
-	waitFor(t, func() bool { return p.controller.RoutingTable().Customers() == 2 })
+	waitFor(t, func() bool { return p.controller.RoutingTable().CustomerCount() == 2 })
 	admit := func(customer string) *fleetpb.AdmitReply {
 		r, err := p.controller.Admit(t.Context(), &fleetpb.AdmitRequest{Customer: customer, Requests: 1})
 		if err != nil {
--- a/rockbarrow/controller/incarnations.go
+++ b/rockbarrow/controller/incarnations.go
@@ -296,5 +296,5 @@
 	named := &fleetpb.EndpointList{
 		Endpoints: c.incarnations.annotate(time.Now(), known.List(), known.List().GetEndpoints()), Calls: known.List().GetCalls(),
 	}
-	c.offerList(c.numberList(known.Version(), named), known.At())
+	c.offerList(c.numberList(known.Version(), named), known.ConfirmedAt())
 }
--- a/rockbarrow/controller/incarnations_test.go
+++ b/rockbarrow/controller/incarnations_test.go
@@ -94,7 +94,7 @@
 	p.reportLoss("x", 1000)
 	waitFor(t, func() bool { return p.startTime("x") == 900 })
 	late := &fleetpb.EndpointList{Number: p.controller.Endpoints().List().GetNumber() + 1<<tagBits, Endpoints: lagging.GetEndpoints()}
-	p.controller.Watcher().OfferList(late, time.Now())
+	p.controller.Watcher().UpdateList(late, time.Now())
 	waitFor(t, func() bool { return p.startTime("x") == 900 })
 	if n := p.startTimes.probeCount("x"); n != 2 {
 		t.Errorf("probed %d times, want one initial probe and one after a loss", n)
--- a/rockbarrow/controller/reach.go
+++ b/rockbarrow/controller/reach.go
@@ -47,7 +47,7 @@
 	if register.ContainsStorage(voters, c.Self.GetStorage()) {
 		reached++
 	}
-	for _, m := range c.watch.Control(reachTimeout) {
+	for _, m := range c.watch.ControlInstances(reachTimeout) {
 		if register.ContainsStorage(voters, m.GetStorage()) {
 			reached++
 		}
--- a/rockbarrow/controller/relay_test.go
+++ b/rockbarrow/controller/relay_test.go
@@ -106,7 +106,7 @@
 	}
 	peer := &fleetpb.WatchRequest{Role: fleetpb.Role_ROLE_CONTROL, WantsNews: true}
 	entry := &fleetpb.WatchRequest{Role: fleetpb.Role_ROLE_ENTRY, WantsNews: true}
-	c.watch.OfferList(&fleetpb.EndpointList{Number: 5}, time.Now())
+	c.watch.UpdateList(&fleetpb.EndpointList{Number: 5}, time.Now())
 	if c.hasUpdateFor(peer, false) || !c.hasUpdateFor(peer, true) || !c.hasUpdateFor(entry, false) {
 		t.Error("a waiting control instance is notified of what was learned from others")
 	}
--- a/rockbarrow/controller/rounds.go
+++ b/rockbarrow/controller/rounds.go
@@ -107,7 +107,7 @@
 // seedMembers returns the members at the seeds' addresses. A seed that was not heard recently has
 // no storage.
 func (c *Controller) seedMembers() []*fleetpb.Member {
-	heard := append(c.watch.Control(seedTimeout), c.Self)
+	heard := append(c.watch.ControlInstances(seedTimeout), c.Self)
 	var out []*fleetpb.Member
 	for _, address := range c.InitialSeeds {
 		seed := &fleetpb.Member{Address: address}
--- a/rockbarrow/controller/tables_test.go
+++ b/rockbarrow/controller/tables_test.go
@@ -100,15 +100,15 @@
 		t.Errorf("an entry instance received a document of %d bytes", len(d))
 	}
 	first := fetch(t, w, nil, 1)
-	if first.Routes() != routes {
-		t.Fatalf("%d routes", first.Routes())
+	if first.RouteCount() != routes {
+		t.Fatalf("%d routes", first.RouteCount())
 	}
 	held := first
 	for v := uint64(2); v < 6; v++ {
 		putConfiguration(t, cluster[0], v, string(configuration(t, v, routes+int(v))))
 		awaitVersion(t, w, v)
-		if held = fetch(t, w, held, v); held.Version() != v || held.Routes() != routes+int(v) {
-			t.Fatalf("version %d with %d routes", held.Version(), held.Routes())
+		if held = fetch(t, w, held, v); held.Version() != v || held.RouteCount() != routes+int(v) {
+			t.Fatalf("version %d with %d routes", held.Version(), held.RouteCount())
 		}
 	}
 	c := cluster[0].controller
@@ -199,7 +199,7 @@
 	putConfiguration(t, cluster[0], 1, string(configuration(t, 1, 10)))
 	w := newEntryWatch(t, cluster)
 	awaitVersion(t, w, 1)
-	waitFor(t, func() bool { return len(w.Control(time.Minute)) == len(cluster) })
+	waitFor(t, func() bool { return len(w.ControlInstances(time.Minute)) == len(cluster) })
 	for _, p := range cluster {
 		waitFor(t, func() bool { return p.controller.RoutingTable().Version() == 1 })
 	}
--- a/rockbarrow/controller/updates.go
+++ b/rockbarrow/controller/updates.go
@@ -154,7 +154,7 @@
 	}
 	if l := c.watch.List(); l != nil {
 		r.ListKnown, r.ListNumber = true, l.List().GetNumber()
-		r.ListAgeMs = uint64(max(0, now.Sub(l.At()).Milliseconds()))
+		r.ListAgeMs = uint64(max(0, now.Sub(l.ConfirmedAt()).Milliseconds()))
 		if req.GetWantsNews() && c.lacksList(req) {
 			c.setList(r, l.Version(), req)
 		}
--- a/rockbarrow/entry/stores_test.go
+++ b/rockbarrow/entry/stores_test.go
@@ -110,8 +110,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		w.Changed = s.Wake
-		g := dial.Server()
+		w.OnChange = s.Wake
+		g := dial.NewServer()
 		fleetpb.RegisterStoreServer(g, s)
 		ctx, cancel := context.WithCancel(context.Background())
 		go s.Run(ctx)
@@ -120,7 +120,7 @@
 		watches = append(watches, w)
 	}
 	for _, w := range watches {
-		w.Offer(&fleetpb.State{Number: 1, View: view})
+		w.UpdateState(&fleetpb.State{Number: 1, View: view})
 	}
 	return view
 }
--- a/rockbarrow/stores/cluster_test.go
+++ b/rockbarrow/stores/cluster_test.go
@@ -95,8 +95,8 @@
 		p.t.Fatal(err)
 	}
 	p.store = s
-	p.watch.Changed = s.Wake
-	g := dial.Server()
+	p.watch.OnChange = s.Wake
+	g := dial.NewServer()
 	fleetpb.RegisterStoreServer(g, &countingStore{Store: s, calls: &p.reserveCalls})
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
@@ -145,7 +145,7 @@
 
 func (g *testCluster) newClient() *stores.Client {
 	w := &watch.Client{Self: &fleetpb.Member{Instance: "entry"}, Log: discardLogger()}
-	w.Offer(g.state)
+	w.UpdateState(g.state)
 	pool := &dial.Pool{}
 	g.t.Cleanup(pool.Close)
 	return &stores.Client{Watch: w, Pool: pool, Domain: "domain-1", TurnCache: &stores.Cache{MaxBytes: 1 << 20}}
@@ -163,9 +163,9 @@
 }
 
 func (g *testCluster) publishState() {
-	g.client.Watch.Offer(g.state)
+	g.client.Watch.UpdateState(g.state)
 	for _, p := range g.stores {
-		p.watch.Offer(g.state)
+		p.watch.UpdateState(g.state)
 	}
 }
 
--- a/rockbarrow/stores/quorum_test.go
+++ b/rockbarrow/stores/quorum_test.go
@@ -56,7 +56,7 @@
 // TestBeforeStoresAreChosenNothingIsReserved guards against a panic when the view has no members yet.
 func TestBeforeStoresAreChosenNothingIsReserved(t *testing.T) {
 	w := &watch.Client{Self: &fleetpb.Member{Instance: "entry"}, Log: discardLogger()}
-	w.Offer(&fleetpb.State{Number: 1, View: &fleetpb.View{Epoch: 1, Copies: 3}})
+	w.UpdateState(&fleetpb.State{Number: 1, View: &fleetpb.View{Epoch: 1, Copies: 3}})
 	c := &stores.Client{Watch: w, Pool: &dial.Pool{}, TurnCache: &stores.Cache{MaxBytes: 1 << 10}}
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
@@ -134,7 +134,7 @@
 	}
 	until(true)
 	g.changeView(func(*fleetpb.View) {})
-	c.Watch.Offer(&fleetpb.State{Number: g.state.GetNumber() + 1, View: g.state.GetView(), Voters: []*fleetpb.Member{{Instance: "silent"}}})
+	c.Watch.UpdateState(&fleetpb.State{Number: g.state.GetNumber() + 1, View: g.state.GetView(), Voters: []*fleetpb.Member{{Instance: "silent"}}})
 	g.stores[0].stop()
 	g.stores[1].stop()
 	until(false)
--- a/rockbarrow/stores/recovery_test.go
+++ b/rockbarrow/stores/recovery_test.go
@@ -70,7 +70,7 @@
 	if _, err := old.Reserve(shortContext(t), stores.Turn{ID: "1", Program: "p", MaxTokens: 10}); err == nil {
 		t.Error("a call under an older view succeeded")
 	}
-	old.Watch.Offer(g.state)
+	old.Watch.UpdateState(g.state)
 	g.noError(g.runTurn(old, stores.Turn{ID: "2", Program: "p", MaxTokens: 10}, 5))
 }
 
--- a/rockbarrow/watch/received.go
+++ b/rockbarrow/watch/received.go
@@ -11,63 +11,63 @@
 	"rockbarrow.dev/schema/fleetpb"
 )
 
-// Reading is the list of endpoints with the time of its newest confirmation.
-type Reading struct {
+// ListSnapshot is a list of endpoints with the time at which it was last confirmed.
+type ListSnapshot struct {
 	list *catalog.List
 	at   time.Time
 }
 
-// List returns the list, or nil if there is no reading.
-func (r *Reading) List() *fleetpb.EndpointList {
+// List returns the list, or nil if r is nil.
+func (r *ListSnapshot) List() *fleetpb.EndpointList {
 	return r.Version().List()
 }
 
-// Version returns the list with its checksum, or nil if there is no reading.
-func (r *Reading) Version() *catalog.List {
+// Version returns the list with its checksum, or nil if r is nil.
+func (r *ListSnapshot) Version() *catalog.List {
 	if r == nil {
 		return nil
 	}
 	return r.list
 }
 
-// At returns when the list was last known to be current.
-func (r *Reading) At() time.Time { return r.at }
+// ConfirmedAt returns when the list was last known to be current.
+func (r *ListSnapshot) ConfirmedAt() time.Time { return r.at }
 
-// Offer takes a state learned elsewhere. Older ones change nothing.
-func (c *Client) Offer(s *fleetpb.State) bool {
+// UpdateState replaces the current state if s is newer, and reports whether it did.
+func (c *Client) UpdateState(s *fleetpb.State) bool {
 	for {
 		old := c.state.Load()
 		if old != nil && s.GetNumber() <= old.GetNumber() {
 			return false
 		}
 		if c.state.CompareAndSwap(old, s) {
-			c.Documents.Add(s)
+			c.Documents.AddState(s)
 			c.Log.WithFields(logrus.Fields{
 				"state": s.GetNumber(), "config_version": s.GetConfiguration().GetVersion(),
 				"view": s.GetView().GetEpoch(), "stores": len(s.GetView().GetMembers()),
 			}).Info("a newer state is in force")
-			c.changed()
+			c.notifyChange()
 			return true
 		}
 	}
 }
 
-// OfferList takes a reading of the list, which it does not change. Older ones change nothing but the time
-// of a list already known.
-func (c *Client) OfferList(l *fleetpb.EndpointList, at time.Time) {
+// UpdateList replaces the current list if l is newer. For the current list it only
+// advances the confirmation time; older lists are ignored. It does not modify l.
+func (c *Client) UpdateList(l *fleetpb.EndpointList, at time.Time) {
 	known := c.list.Load()
 	if known != nil && l.GetNumber() == known.list.Number() {
-		c.OfferVersion(known.list, at)
+		c.UpdateListVersion(known.list, at)
 		return
 	}
-	c.OfferVersion(catalog.New(l).ShareEndpoints(known.Version()), at)
+	c.UpdateListVersion(catalog.New(l).ShareEndpoints(known.Version()), at)
 }
 
-// OfferVersion is OfferList for a list whose checksum is known.
-func (c *Client) OfferVersion(l *catalog.List, at time.Time) {
+// UpdateListVersion is like UpdateList for a list whose checksum is known.
+func (c *Client) UpdateListVersion(l *catalog.List, at time.Time) {
 	for {
 		old := c.list.Load()
-		next := &Reading{list: l, at: at}
+		next := &ListSnapshot{list: l, at: at}
 		if old != nil && l.Number() <= old.list.Number() {
 			if l.Number() < old.list.Number() || !at.After(old.at) {
 				return
@@ -80,41 +80,41 @@
 		if old == nil || next.list != old.list {
 			c.Log.WithFields(logrus.Fields{"list": l.Number(), "endpoints": len(l.List().GetEndpoints())}).
 				Info("a newer list of endpoints is in force")
-			c.changed()
+			c.notifyChange()
 		}
 		return
 	}
 }
 
-func (c *Client) changed() {
-	if c.Changed != nil {
-		c.Changed()
+func (c *Client) notifyChange() {
+	if c.OnChange != nil {
+		c.OnChange()
 	}
 }
 
-// Receive takes what a control instance tells of the state and of entry instances.
-func (c *Client) Receive(r *fleetpb.WatchReply) {
-	c.entries.Store(max(r.GetEntries(), 1))
+// ApplyReply applies a reply's state and its counts of entry instances.
+func (c *Client) ApplyReply(r *fleetpb.WatchReply) {
+	c.entryCount.Store(max(r.GetEntries(), 1))
 	if counts := r.GetEntryDomains(); len(counts) > 0 {
-		c.domains.Store(&counts)
+		c.entryDomains.Store(&counts)
 	}
 	if r.GetState() != nil {
-		c.Offer(r.GetState())
+		c.UpdateState(r.GetState())
 	}
 }
 
-// receiveList takes a newer list, or the news that the known one was read again.
-func (c *Client) receiveList(r *fleetpb.WatchReply, list *catalog.List, by time.Time) {
+// applyList applies a newer list, or a newer confirmation time of the current one.
+func (c *Client) applyList(r *fleetpb.WatchReply, list *catalog.List, by time.Time) {
 	if !r.GetListKnown() {
 		return
 	}
 	at := by.Add(-time.Duration(r.GetListAgeMs()) * time.Millisecond)
 	if list != nil {
-		c.OfferVersion(list, at)
+		c.UpdateListVersion(list, at)
 		return
 	}
-	// The age may be that of another list.
+	// The age may belong to another list.
 	if known := c.list.Load(); known != nil && known.list.Number() == r.GetListNumber() {
-		c.OfferVersion(known.list, at)
+		c.UpdateListVersion(known.list, at)
 	}
 }
