--- a/rockbarrow/register/founding_test.go
+++ b/rockbarrow/register/founding_test.go
@@ -16,9 +16,9 @@
 	// storages holds the current storage of each instance, seeds first.
 	storages []uint64
 	// wiped is true for an instance that lost its disk and has not learned of a deployment since.
-	wiped          []bool
-	faultTolerance int
-	nextStorage    uint64
+	wiped           []bool
+	toleratedFaults int
+	nextStorage     uint64
 	// newestChosen is the newest chosen value.
 	newestChosen *fleetpb.State
 	// formed is set once an instance has learned a value.
@@ -26,10 +26,10 @@
 }
 
 func newBootstrapModel(t testing.TB, seed uint64) *bootstrapModel {
-	f := &bootstrapModel{model: newModel(t, seed, 4), wiped: make([]bool, 4), faultTolerance: 1 + int(seed%2), nextStorage: 100}
+	f := &bootstrapModel{model: newModel(t, seed, 4), wiped: make([]bool, 4), toleratedFaults: 1 + int(seed%2), nextStorage: 100}
 	for id := range uint64(4) {
 		a := f.acceptors[id+1]
-		a.Founder, a.FaultTolerance = f.rng.IntN(4) > 0, f.faultTolerance
+		a.Founder, a.FaultTolerance = f.rng.IntN(4) > 0, f.toleratedFaults
 		f.storages = append(f.storages, id+1)
 	}
 	return f
@@ -105,7 +105,7 @@
 			blank++
 		}
 	}
-	if blank > f.faultTolerance || f.wiped[i] {
+	if blank > f.toleratedFaults || f.wiped[i] {
 		return
 	}
 	f.wiped[i] = true
@@ -113,7 +113,7 @@
 	delete(f.acceptors, f.storages[i])
 	f.nextStorage++
 	f.storages[i] = f.nextStorage
-	f.acceptors[f.nextStorage] = &Acceptor{Storage: f.nextStorage, Seeds: seeds, FaultTolerance: f.faultTolerance}
+	f.acceptors[f.nextStorage] = &Acceptor{Storage: f.nextStorage, Seeds: seeds, FaultTolerance: f.toleratedFaults}
 }
 
 // Only one initial value may be chosen, and all later values must follow from it.
