--- a/rockbarrow/catalog/catalog_test.go
+++ b/rockbarrow/catalog/catalog_test.go
@@ -75,7 +75,7 @@
 }
 
 // Changes and snapshots between random lists must produce the intended list.
-func TestAnyChangeLeadsToItsList(t *testing.T) {
+func TestApplyReproducesRandomLists(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
 	draw := func() *List {
 		l := &fleetpb.EndpointList{Number: r.Uint64()}
@@ -106,7 +106,7 @@
 }
 
 // Changes that are damaged, unsorted or based on a different list must be rejected.
-func TestAWrongChangeChangesNothing(t *testing.T) {
+func TestApplyRejectsInvalidChanges(t *testing.T) {
 	from := newTestList(10)
 	change := func(wrong func(*fleetpb.ListChange)) *fleetpb.ListChange {
 		c := proto.CloneOf(Diff(from, replaceEndpoints(from, 2, map[string]*fleetpb.Endpoint{
@@ -146,7 +146,7 @@
 }
 
 // A change must be computed once for all receivers that hold the same list.
-func TestManyReceiversShareOneChange(t *testing.T) {
+func TestReceiversShareChange(t *testing.T) {
 	var h History
 	first := newTestList(100)
 	second := replaceEndpoints(first, 2, map[string]*fleetpb.Endpoint{"e00005": nil})
--- a/rockbarrow/controller/controller_test.go
+++ b/rockbarrow/controller/controller_test.go
@@ -142,7 +142,7 @@
 	return p.controller.State().GetConfiguration().GetVersion()
 }
 
-func TestAnAcceptedConfigurationComesIntoForceEverywhere(t *testing.T) {
+func TestPutReachesAllInstances(t *testing.T) {
 	cluster := startCluster(t)
 	putConfiguration(t, cluster[1], 7, "seven")
 	putConfiguration(t, cluster[2], 5, "five")
@@ -249,7 +249,7 @@
 	waitFor(t, func() bool { return configVersion(cluster[1]) == 3 })
 }
 
-func TestTheListReachesAllThatWatch(t *testing.T) {
+func TestListReachesAllInstances(t *testing.T) {
 	cluster := startCluster(t)
 	cluster[0].list.set(&fleetpb.Endpoint{Id: "a"}, &fleetpb.Endpoint{Id: "b", Draining: true})
 	for _, p := range cluster {
--- a/rockbarrow/controller/coordinator.go
+++ b/rockbarrow/controller/coordinator.go
@@ -139,11 +139,11 @@
 	if known != nil {
 		return
 	}
-	heard := reachableSeeds(seeds)
-	if 2*len(heard) <= len(seeds) || len(heard) < len(seeds) && now.Sub(d.startedAt) < seedWait {
+	reachable := reachableSeeds(seeds)
+	if 2*len(reachable) <= len(seeds) || len(reachable) < len(seeds) && now.Sub(d.startedAt) < seedWait {
 		return
 	}
-	voters := initialVoters(heard, c.controlMembers(now, leaderTimeout), 2*c.FaultTolerance+1)
+	voters := initialVoters(reachable, c.controlMembers(now, leaderTimeout), 2*c.FaultTolerance+1)
 	d.applyChange(ctx, "first voters", register.InitialState(voters, seeds))
 }
 
--- a/rockbarrow/controller/customers.go
+++ b/rockbarrow/controller/customers.go
@@ -21,8 +21,8 @@
 	}
 	// Read the clock before the own vote, so that a pause in between cannot make the confirmation
 	// look newer.
-	asked := time.Now()
-	at, ok := c.watch.Confirm(s, c.savedRecord.Load().GetState().GetNumber(), asked)
+	requestedAt := time.Now()
+	at, ok := c.watch.Confirm(s, c.savedRecord.Load().GetState().GetNumber(), requestedAt)
 	if !ok {
 		return nil
 	}
--- a/rockbarrow/controller/customers_test.go
+++ b/rockbarrow/controller/customers_test.go
@@ -27,7 +27,7 @@
 
 // Without a majority of voters, the reported confirmation must age so that leases expire; it must
 // become fresh again when the majority is back.
-func TestOnlyAMajorityConfirms(t *testing.T) {
+func TestConfirmationRequiresMajority(t *testing.T) {
 	instances := startCluster(t)
 	putConfiguration(t, instances[0], 7, "seven")
 	fresh := func() bool {
@@ -49,7 +49,7 @@
 }
 
 // A call that waits for the first confirmation must return as soon as there is one.
-func TestTheFirstConfirmationIsNotWaitedFor(t *testing.T) {
+func TestWatchReturnsAtFirstConfirmation(t *testing.T) {
 	instances := startCluster(t)
 	putConfiguration(t, instances[0], 7, "seven")
 	waitFor(t, func() bool { return configVersion(instances[2]) == 7 })
@@ -64,7 +64,7 @@
 
 // Replies must contain the accepted number, a process id that changes with a restart, and the
 // customers' counts.
-func TestRepliesTellWhatLeasesAndQuotasRestOn(t *testing.T) {
+func TestRepliesSupportLeasesAndQuotas(t *testing.T) {
 	p := startCluster(t)[0]
 	putConfiguration(t, p, 1, keyedDocument(t, 1))
 	waitFor(t, func() bool {
@@ -97,7 +97,7 @@
 
 // The share of a silent entry instance must be withheld from each quota, since it may still admit
 // requests.
-func TestInstancesThatAreNotHeardKeepTheirShares(t *testing.T) {
+func TestSilentEntryInstancesKeepQuotaShares(t *testing.T) {
 	p := startCluster(t)[0]
 	p.controller.quotas.Params = quota.Params{Window: 1024 * time.Second}
 	p.controller.quotas.Start(time.Now().Add(-time.Hour))
@@ -139,7 +139,7 @@
 }
 
 // Reported and granted requests must count against the quota and be visible to operators.
-func TestCustomersAreCountedByControl(t *testing.T) {
+func TestCustomerRequestsAreCounted(t *testing.T) {
 	p := startCluster(t)[0]
 	p.controller.quotas.Params = quota.Params{Window: 1024 * time.Second}
 	p.controller.quotas.Start(time.Now().Add(-time.Hour))
--- a/rockbarrow/controller/evacuations_test.go
+++ b/rockbarrow/controller/evacuations_test.go
@@ -22,7 +22,7 @@
 }
 
 // Evacuations must survive a restart of all instances, be idempotent and reach entry instances.
-func TestEvacuationsAreKept(t *testing.T) {
+func TestEvacuationsArePersistent(t *testing.T) {
 	cluster := startCluster(t)
 	order := func(p *testInstance, domain string, end bool) error {
 		p.controller.FailureDomains = []string{"a", "b"}
@@ -62,7 +62,7 @@
 }
 
 // An evacuation must not be acknowledged without a majority or for an unknown failure domain.
-func TestAnEvacuationThatIsNotKeptIsNotAcknowledged(t *testing.T) {
+func TestEvacuateRequiresMajorityAndKnownDomain(t *testing.T) {
 	cluster := startCluster(t)
 	cluster[0].controller.FailureDomains = []string{"a"}
 	var unknown *UnknownDomainError
--- a/rockbarrow/controller/incarnations.go
+++ b/rockbarrow/controller/incarnations.go
@@ -105,13 +105,13 @@
 			e.BornMs = current.BornMS
 		}
 		out = append(out, e)
-		q := before[e.GetId()]
-		if q == nil {
-			q = newProbe(now, e, startKnown[e.GetId()])
+		p := before[e.GetId()]
+		if p == nil {
+			p = newProbe(now, e, startKnown[e.GetId()])
 		} else {
-			q.updateEndpoint(now, e)
+			p.updateEndpoint(now, e)
 		}
-		l.probes[e.GetId()] = q
+		l.probes[e.GetId()] = p
 	}
 	l.current.Forget(now)
 	l.unpublished = false
@@ -122,20 +122,20 @@
 // list has the endpoint's start time, another instance has probed it already. Earlier results for
 // an endpoint that has returned to the list are ignored.
 func newProbe(now time.Time, e *fleetpb.Endpoint, startKnown bool) *probe {
-	q := &probe{endpoint: e, interval: minProbeInterval}
+	p := &probe{endpoint: e, interval: minProbeInterval}
 	if !startKnown {
-		q.due, q.initial = now, true
+		p.due, p.initial = now, true
 	}
-	return q
+	return p
 }
 
 // updateEndpoint records a newer reading of the endpoint.
-func (q *probe) updateEndpoint(now time.Time, e *fleetpb.Endpoint) {
-	moved := q.endpoint.GetAddress() != e.GetAddress()
-	returned := q.endpoint.GetDraining() && !e.GetDraining()
-	q.endpoint = e
+func (p *probe) updateEndpoint(now time.Time, e *fleetpb.Endpoint) {
+	moved := p.endpoint.GetAddress() != e.GetAddress()
+	returned := p.endpoint.GetDraining() && !e.GetDraining()
+	p.endpoint = e
 	if moved || returned {
-		q.due, q.unsupported, q.initial = now, false, false
+		p.due, p.unsupported, p.initial = now, false, false
 	}
 }
 
@@ -145,15 +145,15 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, u := range uses {
-		q := l.probes[u.GetEndpoint()]
-		if u.GetLost() == 0 || q == nil || q.unsupported || !q.due.IsZero() && !q.initial {
+		p := l.probes[u.GetEndpoint()]
+		if u.GetLost() == 0 || p == nil || p.unsupported || !p.due.IsZero() && !p.initial {
 			continue
 		}
 		current, _ := l.current.Take(now, life.Life{ID: u.GetEndpoint()})
 		if !current.Same(life.Life{ID: u.GetEndpoint(), BornMS: u.GetBornMs()}) {
 			continue
 		}
-		q.due, q.initial = later(now, q.lastSent.Add(q.interval)), false
+		p.due, p.initial = later(now, p.lastSent.Add(p.interval)), false
 	}
 }
 
@@ -179,8 +179,8 @@
 		if l.controller.rank(now) != 0 {
 			continue
 		}
-		for _, q := range l.dueProbes(now) {
-			go l.runProbe(ctx, q)
+		for _, p := range l.dueProbes(now) {
+			go l.runProbe(ctx, p)
 		}
 	}
 }
@@ -202,57 +202,57 @@
 	defer l.mu.Unlock()
 	var out []*probe
 	l.backlog = false
-	for _, q := range l.probes {
-		if q.pending || q.due.IsZero() || now.Before(q.due) || q.initial && l.unsupportedRuns[q.endpoint.GetService()] >= unsupportedThreshold {
+	for _, p := range l.probes {
+		if p.pending || p.due.IsZero() || now.Before(p.due) || p.initial && l.unsupportedRuns[p.endpoint.GetService()] >= unsupportedThreshold {
 			continue
 		}
 		if l.inFlight == maxConcurrentProbes {
 			l.backlog = true
 			break
 		}
-		if now.Sub(q.lastSent) > probeBackoffReset {
-			q.interval = minProbeInterval
+		if now.Sub(p.lastSent) > probeBackoffReset {
+			p.interval = minProbeInterval
 		}
-		q.pending, q.initial, q.due, q.lastSent = true, false, time.Time{}, now
+		p.pending, p.initial, p.due, p.lastSent = true, false, time.Time{}, now
 		l.inFlight++
-		out = append(out, q)
+		out = append(out, p)
 	}
 	return out
 }
 
 // runProbe sends one probe and handles the reply.
-func (l *incarnationTracker) runProbe(ctx context.Context, q *probe) {
+func (l *incarnationTracker) runProbe(ctx context.Context, p *probe) {
 	l.mu.Lock()
-	e := q.endpoint
+	e := p.endpoint
 	l.mu.Unlock()
 	born, err := l.controller.StartTimes.StartTime(ctx, e)
-	l.handleReply(time.Now(), q, e, born, err)
+	l.handleReply(time.Now(), p, e, born, err)
 }
 
 // handleReply processes the result of a probe sent to the address in e.
-func (l *incarnationTracker) handleReply(now time.Time, q *probe, e *fleetpb.Endpoint, born uint64, err error) {
+func (l *incarnationTracker) handleReply(now time.Time, p *probe, e *fleetpb.Endpoint, born uint64, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.inFlight--
-	q.pending = false
+	p.pending = false
 	log := l.controller.Log.WithFields(logrus.Fields{"endpoint": e.GetId(), "address": e.GetAddress()})
 	switch {
-	case q.endpoint.GetAddress() != e.GetAddress():
+	case p.endpoint.GetAddress() != e.GetAddress():
 		// The endpoint has moved; it is probed at its new address.
 	case err != nil:
 		log.WithError(err).Debug("an endpoint did not report its start time")
-		q.due = now.Add(minProbeInterval)
+		p.due = now.Add(minProbeInterval)
 	case born == 0:
-		q.unsupported = true
+		p.unsupported = true
 		if l.unsupportedRuns == nil {
 			l.unsupportedRuns = map[string]int{}
 		}
 		l.unsupportedRuns[e.GetService()]++
 		l.logUnsupported(log)
 	case l.recordIncarnation(now, log, e.GetService(), life.Life{ID: e.GetId(), BornMS: born}):
-		q.interval = minProbeInterval
+		p.interval = minProbeInterval
 	default:
-		q.interval = min(2*q.interval, maxProbeInterval)
+		p.interval = min(2*p.interval, maxProbeInterval)
 	}
 }
 
@@ -293,8 +293,8 @@
 	if known == nil {
 		return
 	}
-	named := &fleetpb.EndpointList{
+	annotated := &fleetpb.EndpointList{
 		Endpoints: c.incarnations.annotate(time.Now(), known.List(), known.List().GetEndpoints()), Calls: known.List().GetCalls(),
 	}
-	c.offerList(c.numberList(known.Version(), named), known.ConfirmedAt())
+	c.offerList(c.numberList(known.Version(), annotated), known.ConfirmedAt())
 }
--- a/rockbarrow/controller/incarnations_test.go
+++ b/rockbarrow/controller/incarnations_test.go
@@ -107,7 +107,7 @@
 }
 
 // An endpoint that does not answer must be probed again.
-func TestAnEndpointThatGivesNoAnswerIsAskedAgain(t *testing.T) {
+func TestUnresponsiveEndpointIsProbedAgain(t *testing.T) {
 	p := startSingle(t)
 	waitFor(t, func() bool { return p.startTimes.probeCount("y") == 1 })
 	p.startTimes.start("y", 7)
@@ -138,7 +138,7 @@
 }
 
 // Incarnations in the known list must be reused instead of probing again.
-func TestAnotherReaderAsksNobodyAgain(t *testing.T) {
+func TestKnownIncarnationsAreReused(t *testing.T) {
 	var l incarnationTracker
 	known := &fleetpb.EndpointList{Endpoints: []*fleetpb.Endpoint{{Id: "x", BornMs: 5}}}
 	now := time.Unix(100, 0)
@@ -152,7 +152,7 @@
 }
 
 // An endpoint that returns to the list must be probed again.
-func TestAnEndpointThatComesBackIsAsked(t *testing.T) {
+func TestReturningEndpointIsProbed(t *testing.T) {
 	l := incarnationTracker{controller: &Controller{Log: discardLog()}}
 	now := time.Unix(100, 0)
 	list := &fleetpb.EndpointList{}
--- a/rockbarrow/controller/loads.go
+++ b/rockbarrow/controller/loads.go
@@ -84,9 +84,9 @@
 	l.reporters[reporter] = r
 	for _, u := range uses {
 		if n := u.GetRunning(); n > 0 {
-			of := incarnationOfUse(u)
-			r.running[of] += n
-			l.running[of] += n
+			key := incarnationOfUse(u)
+			r.running[key] += n
+			l.running[key] += n
 		}
 	}
 }
@@ -102,14 +102,14 @@
 	sums := map[life.Life]uint32{}
 	for _, r := range l.reporters {
 		if r.relayed {
-			for of, n := range r.running {
-				sums[of] += n
+			for key, n := range r.running {
+				sums[key] += n
 			}
 		}
 	}
 	out := make([]*fleetpb.EndpointUse, 0, len(sums))
-	for of, n := range sums {
-		out = append(out, &fleetpb.EndpointUse{Endpoint: of.ID, BornMs: of.BornMS, Running: n})
+	for key, n := range sums {
+		out = append(out, &fleetpb.EndpointUse{Endpoint: key.ID, BornMs: key.BornMS, Running: n})
 	}
 	return out
 }
@@ -135,11 +135,11 @@
 		if u.GetAnswered() == 0 && u.GetFailed() == 0 {
 			continue
 		}
-		of := incarnationOfUse(u)
-		o := l.outcomes[of]
+		key := incarnationOfUse(u)
+		o := l.outcomes[key]
 		if o == nil {
 			o = &outcomes{updatedAt: now}
-			l.outcomes[of] = o
+			l.outcomes[key] = o
 		}
 		o.decay(now)
 		o.answered += float64(u.GetAnswered())
@@ -217,16 +217,16 @@
 		own = r.running
 	}
 	out := make([]endpointLoad, 0, len(l.running))
-	for of, n := range l.running {
-		if i, ok := indexOfIncarnation(list, of); ok {
-			out = append(out, endpointLoad{index: i, running: n - own[of]})
+	for key, n := range l.running {
+		if i, ok := indexOfIncarnation(list, key); ok {
+			out = append(out, endpointLoad{index: i, running: n - own[key]})
 		}
 	}
-	for of, o := range l.outcomes {
+	for key, o := range l.outcomes {
 		if o.failed < minFailureWeight {
 			continue
 		}
-		if i, ok := indexOfIncarnation(list, of); ok {
+		if i, ok := indexOfIncarnation(list, key); ok {
 			o.decay(now)
 			out = append(out, endpointLoad{index: i, outcomes: *o})
 		}
@@ -254,11 +254,11 @@
 
 // indexOfIncarnation returns the index of an endpoint in a list. An incarnation with a known start
 // time must match the list; otherwise the id alone decides.
-func indexOfIncarnation(list *catalog.List, of life.Life) (int, bool) {
-	i, ok := list.Index(of.ID)
+func indexOfIncarnation(list *catalog.List, key life.Life) (int, bool) {
+	i, ok := list.Index(key.ID)
 	if !ok {
 		return 0, false
 	}
 	born := list.List().GetEndpoints()[i].GetBornMs()
-	return i, of.BornMS == 0 || of.BornMS == born
+	return i, key.BornMS == 0 || key.BornMS == born
 }
--- a/rockbarrow/controller/loads_test.go
+++ b/rockbarrow/controller/loads_test.go
@@ -19,7 +19,7 @@
 	return &fleetpb.EndpointUse{Endpoint: endpoint, Running: running, Answered: answered, Failed: failed}
 }
 
-func TestLoadsAreThoseOfOthers(t *testing.T) {
+func TestLoadsExcludeOwnCalls(t *testing.T) {
 	var l loads
 	now := time.Unix(100, 0)
 	l.record(now, "1", []*fleetpb.EndpointUse{use("x", 3, 0, 0), use("y", 1, 0, 0)}, false)
--- a/rockbarrow/controller/presence.go
+++ b/rockbarrow/controller/presence.go
@@ -120,21 +120,21 @@
 
 // entryDomains counts the entry instances per failure domain and returns the total number present.
 func (r *presence) entryDomains(now time.Time) (out []*fleetpb.EntryDomain, present uint32) {
-	at := map[string]*fleetpb.EntryDomain{}
+	byName := map[string]*fleetpb.EntryDomain{}
 	for _, i := range r.fleet.Instances(now, fleetpb.Role_ROLE_ENTRY, knownTimeout) {
 		name := i.Member.GetFailureDomain()
-		if at[name] == nil {
-			at[name] = &fleetpb.EntryDomain{FailureDomain: name}
-			out = append(out, at[name])
+		if byName[name] == nil {
+			byName[name] = &fleetpb.EntryDomain{FailureDomain: name}
+			out = append(out, byName[name])
 		}
-		at[name].Known++
+		byName[name].Known++
 		if now.Sub(i.LastHeard) < membership.LivenessTimeout {
 			present++
 		}
 		if now.Sub(i.LastHeard) < servingTimeout {
-			at[name].Heard++
+			byName[name].Heard++
 			if i.Serves {
-				at[name].Serving++
+				byName[name].Serving++
 			}
 		}
 	}
--- a/rockbarrow/controller/reader.go
+++ b/rockbarrow/controller/reader.go
@@ -102,7 +102,7 @@
 	defer cancel()
 	c := r.controller
 	// The list is at least as new as the start of the request.
-	asked := time.Now()
+	requestedAt := time.Now()
 	read, err := c.EndpointSource.Endpoints(ctx)
 	if err != nil {
 		if !r.failing {
@@ -119,8 +119,8 @@
 	c.listMu.Lock()
 	defer c.listMu.Unlock()
 	known := c.watch.List().Version()
-	named := &fleetpb.EndpointList{Endpoints: c.incarnations.annotate(time.Now(), known.List(), read.GetEndpoints()), Calls: read.GetCalls()}
-	c.offerList(c.numberList(known, named), asked)
+	annotated := &fleetpb.EndpointList{Endpoints: c.incarnations.annotate(time.Now(), known.List(), read.GetEndpoints()), Calls: read.GetCalls()}
+	c.offerList(c.numberList(known, annotated), requestedAt)
 }
 
 // numberList assigns a number to a reading: the known number if nothing changed, otherwise one
@@ -128,10 +128,10 @@
 // lists and ignore lower numbers. The low bits are random per process, so that no two lists share a
 // number.
 func (c *Controller) numberList(known *catalog.List, read *fleetpb.EndpointList) *catalog.List {
-	floor := c.highestListNumber.Load()
-	read.Number = (max(known.Number(), floor)>>tagBits+1)<<tagBits | c.listTag
+	highest := c.highestListNumber.Load()
+	read.Number = (max(known.Number(), highest)>>tagBits+1)<<tagBits | c.listTag
 	l := catalog.New(read).ShareEndpoints(known)
-	if known != nil && known.Number() >= floor && catalog.Equal(known, l) {
+	if known != nil && known.Number() >= highest && catalog.Equal(known, l) {
 		return known
 	}
 	return l
--- a/rockbarrow/controller/relay_test.go
+++ b/rockbarrow/controller/relay_test.go
@@ -16,7 +16,7 @@
 
 // Instances that call one control instance, and their calls at endpoints, must be known to the
 // others.
-func TestAllKnowTheFollowersOfOne(t *testing.T) {
+func TestFollowersAreRelayed(t *testing.T) {
 	cluster := startCluster(t)
 	cluster[0].list.set(&fleetpb.Endpoint{Id: "x"}, &fleetpb.Endpoint{Id: "y"})
 	entry := &fleetpb.WatchRequest{
@@ -121,7 +121,7 @@
 }
 
 // Replies must omit what a compact sender already holds.
-func TestRepliesLeaveOutWhatIsKnown(t *testing.T) {
+func TestCompactRepliesOmitKnownData(t *testing.T) {
 	cluster := startCluster(t)
 	c := cluster[0].controller
 	cluster[0].list.set(&fleetpb.Endpoint{Id: "x"})
--- a/rockbarrow/controller/tables_test.go
+++ b/rockbarrow/controller/tables_test.go
@@ -73,24 +73,24 @@
 	waitFor(t, func() bool { return w.State().GetConfiguration().GetVersion() >= version })
 }
 
-// recordingStream counts what Table sends.
-type recordingStream struct {
+// countingStream counts what Table sends.
+type countingStream struct {
 	fleetpb.Control_TableServer
 	ctx   context.Context
 	parts int
 	bytes int
 }
 
-func (s *recordingStream) Context() context.Context { return s.ctx }
+func (s *countingStream) Context() context.Context { return s.ctx }
 
-func (s *recordingStream) Send(p *fleetpb.TablePart) error {
+func (s *countingStream) Send(p *fleetpb.TablePart) error {
 	s.parts++
 	s.bytes += len(p.GetFrame())
 	return nil
 }
 
 // Entry instances must receive table changes rather than whole configurations.
-func TestATableTravelsAsWhatChanged(t *testing.T) {
+func TestTableIsSentAsChanges(t *testing.T) {
 	const routes = 3000
 	cluster := startCluster(t)
 	putConfiguration(t, cluster[0], 1, string(configuration(t, 1, routes)))
@@ -113,15 +113,15 @@
 	}
 	c := cluster[0].controller
 	waitFor(t, func() bool { return c.RoutingTable().Version() == 5 })
-	lagging := &recordingStream{ctx: t.Context()}
+	lagging := &countingStream{ctx: t.Context()}
 	if err := c.Table(&fleetpb.TableRequest{Held: first.Digest(), Version: 5}, lagging); err != nil || lagging.parts != 4 || lagging.bytes > 2000 {
 		t.Errorf("four changes of a route took %d parts of %d bytes, %v", lagging.parts, lagging.bytes, err)
 	}
-	same := &recordingStream{ctx: t.Context()}
+	same := &countingStream{ctx: t.Context()}
 	if err := c.Table(&fleetpb.TableRequest{Held: held.Digest(), Version: 5}, same); err != nil || same.parts != 0 {
 		t.Errorf("a table that is held took %d parts, %v", same.parts, err)
 	}
-	whole := &recordingStream{ctx: t.Context()}
+	whole := &countingStream{ctx: t.Context()}
 	if err := c.Table(&fleetpb.TableRequest{Held: []byte("unknown"), Version: 5}, whole); err != nil || whole.parts < 2 {
 		t.Errorf("the whole table took %d parts, %v", whole.parts, err)
 	}
@@ -141,7 +141,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &recordingStream{ctx: t.Context()}
+	s := &countingStream{ctx: t.Context()}
 	if err := c.Table(&fleetpb.TableRequest{Held: old.Digest(), Version: 1}, s); err != nil || s.parts != 1 {
 		t.Errorf("%d parts, %v", s.parts, err)
 	}
@@ -152,11 +152,11 @@
 }
 
 // A request for a future version must wait and never return an older one.
-func TestATableIsWaitedFor(t *testing.T) {
+func TestTableWaitsForVersion(t *testing.T) {
 	c := &Controller{Decode: decode, Log: discardLog()}
 	c.tables.init(c)
 	c.tables.update(&fleetpb.Configuration{Version: 1, Document: configuration(t, 1, 1)})
-	s := &recordingStream{ctx: t.Context()}
+	s := &countingStream{ctx: t.Context()}
 	done := make(chan error, 1)
 	go func() { done <- c.Table(&fleetpb.TableRequest{Version: 2}, s) }()
 	c.tables.update(&fleetpb.Configuration{Version: 2, Document: configuration(t, 2, 2)})
@@ -165,7 +165,7 @@
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	if err := c.Table(&fleetpb.TableRequest{Version: 3}, &recordingStream{ctx: ctx}); err == nil {
+	if err := c.Table(&fleetpb.TableRequest{Version: 3}, &countingStream{ctx: ctx}); err == nil {
 		t.Error("a request for an unknown version succeeded")
 	}
 }
--- a/rockbarrow/controller/updates.go
+++ b/rockbarrow/controller/updates.go
@@ -23,12 +23,12 @@
 	defer wait.Stop()
 	majority := c.reach.Load().GetMajority()
 	for first := true; ; first = false {
-		news := c.updateChan()
+		updated := c.updateChan()
 		if c.hasUpdateFor(req, first) || req.GetUnconfirmed() && c.confirmation() != nil || c.reach.Load().GetMajority() != majority {
 			return c.reply(req, acknowledged), nil
 		}
 		select {
-		case <-news:
+		case <-updated:
 		case <-c.confirmationTimer(req):
 		case <-wait.C:
 			return c.reply(req, acknowledged), nil
@@ -110,15 +110,15 @@
 
 // memberSummary returns a recent summary. Concurrent calls may compute it twice.
 func (c *Controller) memberSummary(now time.Time) *memberSummary {
-	if h := c.memberSummaryCache.Load(); h != nil && now.Sub(h.at) < memberSummaryTTL {
-		return h
-	}
-	h := &memberSummary{at: now, control: c.controlMembers(now, membership.LivenessTimeout)}
-	h.controlChecksum = membersChecksum(h.control)
-	h.entryDomains, h.presentEntries = c.presence.entryDomains(now)
-	c.memberSummaryCache.Store(h)
-	c.quotas.SetMissingShare(silentShare(h.entryDomains))
-	return h
+	if summary := c.memberSummaryCache.Load(); summary != nil && now.Sub(summary.at) < memberSummaryTTL {
+		return summary
+	}
+	summary := &memberSummary{at: now, control: c.controlMembers(now, membership.LivenessTimeout)}
+	summary.controlChecksum = membersChecksum(summary.control)
+	summary.entryDomains, summary.presentEntries = c.presence.entryDomains(now)
+	c.memberSummaryCache.Store(summary)
+	c.quotas.SetMissingShare(silentShare(summary.entryDomains))
+	return summary
 }
 
 // silentShare returns the share of the known entry instances that were not heard recently.
@@ -136,16 +136,16 @@
 
 func (c *Controller) reply(req *fleetpb.WatchRequest, acknowledged uint64) *fleetpb.WatchReply {
 	now := time.Now()
-	h := c.memberSummary(now)
+	summary := c.memberSummary(now)
 	r := &fleetpb.WatchReply{
-		Responder: c.Self, Entries: h.presentEntries, Process: c.processID, ControlSum: h.controlChecksum,
+		Responder: c.Self, Entries: summary.presentEntries, Process: c.processID, ControlSum: summary.controlChecksum,
 		AcceptedNumber: c.savedRecord.Load().GetState().GetNumber(), Reach: c.reach.Load(), RelayedSequence: acknowledged,
 	}
-	if !req.GetCompact() || req.GetControlSum() != h.controlChecksum {
-		r.Control = h.control
+	if !req.GetCompact() || req.GetControlSum() != summary.controlChecksum {
+		r.Control = summary.control
 	}
 	if req.GetRole() == fleetpb.Role_ROLE_ENTRY {
-		r.EntryDomains, r.Confirmed = h.entryDomains, c.confirmation()
+		r.EntryDomains, r.Confirmed = summary.entryDomains, c.confirmation()
 	}
 	s := c.State()
 	r.StateNumber = s.GetNumber()
@@ -191,14 +191,14 @@
 	}
 	known := c.packableList.Load()
 	if known.List() != l.List() {
-		made, err := document.NewList(l.List())
+		packable, err := document.NewList(l.List())
 		if err != nil {
 			c.Log.WithError(err).Error("failed to encode a list of endpoints, sending it unencoded")
 			r.List = l.List()
 			return
 		}
-		known = made
-		c.packableList.Store(made)
+		known = packable
+		c.packableList.Store(packable)
 	}
 	r.PackedList = c.watch.Lists.PackList(known, req.GetHeldLists())
 }
--- a/rockbarrow/register/clone_test.go
+++ b/rockbarrow/register/clone_test.go
@@ -12,7 +12,7 @@
 )
 
 // A field that CloneState omits would be lost with the next change.
-func TestAChangeKeepsAllOfTheState(t *testing.T) {
+func TestCloneStateCopiesEveryField(t *testing.T) {
 	s := &fleetpb.State{
 		Number: 1, Configuration: &fleetpb.Configuration{Version: 2}, Voters: []*fleetpb.Member{{Storage: 3}},
 		PriorVoters: []*fleetpb.Member{{Storage: 4}}, View: &fleetpb.View{Epoch: 5}, Retired: []string{"s"},
--- a/rockbarrow/register/founding_test.go
+++ b/rockbarrow/register/founding_test.go
@@ -99,13 +99,13 @@
 
 // wipe replaces an instance's disk by an empty one, within the tolerated losses.
 func (f *bootstrapModel) wipe(i int) {
-	blank := 1
+	wipedCount := 1
 	for other, lost := range f.wiped {
 		if lost && other != i {
-			blank++
+			wipedCount++
 		}
 	}
-	if blank > f.toleratedFaults || f.wiped[i] {
+	if wipedCount > f.toleratedFaults || f.wiped[i] {
 		return
 	}
 	f.wiped[i] = true
--- a/rockbarrow/register/model_test.go
+++ b/rockbarrow/register/model_test.go
@@ -207,17 +207,17 @@
 	for _, s := range m.known {
 		if v := string(s.GetConfiguration().GetDocument()); v != "" {
 			if winner != "" && v != winner {
-				t.Errorf("%q and %q are both in force", winner, v)
+				t.Errorf("%q and %q were both chosen", winner, v)
 			}
 			winner = v
 		}
 	}
 	if winner == "" {
-		t.Error("no content came into force")
+		t.Error("no configuration was chosen")
 	}
 }
 
-func TestAnotherLifeOfAStorageNeverVotes(t *testing.T) {
+func TestAcceptorRejectsRequestsForOtherStorage(t *testing.T) {
 	a := &Acceptor{Storage: 9}
 	reply, changed := a.Prepare(&fleetpb.PrepareRequest{Ballot: &fleetpb.Ballot{Round: 1}, Acceptor: 1})
 	if !reply.GetSilent() || changed {
@@ -292,7 +292,7 @@
 }
 
 // Clones are frequent and must not copy the configuration document.
-func TestACloneSharesTheDocument(t *testing.T) {
+func TestCloneStateSharesConfiguration(t *testing.T) {
 	s := &fleetpb.State{
 		Number: 3, Configuration: &fleetpb.Configuration{Version: 2, Document: []byte("large")}, Retired: []string{"a"},
 		Voters: []*fleetpb.Member{{Instance: "v"}}, PriorVoters: []*fleetpb.Member{{Instance: "p"}}, View: &fleetpb.View{Epoch: 4},
--- a/rockbarrow/register/round.go
+++ b/rockbarrow/register/round.go
@@ -230,11 +230,11 @@
 	if r.newest != nil && !r.newestIsChosen() && !sameVoters(next, r.newest) {
 		next = r.newest
 	}
-	electorate := append(r.voterSets(), quorumSets(next)...)
+	voterSets := append(r.voterSets(), quorumSets(next)...)
 	r.proposed = next
 	var out []Action
 	var sent []*fleetpb.Member
-	for _, set := range electorate {
+	for _, set := range voterSets {
 		for _, m := range set {
 			if m.GetStorage() == 0 || ContainsStorage(sent, m.GetStorage()) {
 				continue
@@ -288,9 +288,9 @@
 	return []Action{Chosen{State: s}}
 }
 
-func (r *Round) preempt(to *fleetpb.Ballot) []Action {
+func (r *Round) preempt(by *fleetpb.Ballot) []Action {
 	r.done = true
-	return []Action{Preempted{By: to, Proposed: r.proposed != nil}}
+	return []Action{Preempted{By: by, Proposed: r.proposed != nil}}
 }
 
 // sameVoters reports whether two values have the same voters and prior voters.
--- a/rockbarrow/relay/relay_test.go
+++ b/rockbarrow/relay/relay_test.go
@@ -34,7 +34,7 @@
 }
 
 // An instance that calls one control instance must be known to another.
-func TestFollowersAreKnownEverywhere(t *testing.T) {
+func TestApplyRelayedAddsFollowers(t *testing.T) {
 	var r Reports
 	var f Fleet
 	for _, name := range []string{"entry-1", "entry-2"} {
@@ -69,7 +69,7 @@
 			}
 			m := r.Since(now, acknowledged, nil)
 			if round > 0 && proto.Size(m) > 64 {
-				t.Fatalf("%d bytes of %d calm followers", proto.Size(m), n)
+				t.Fatalf("%d bytes for %d followers that call regularly", proto.Size(m), n)
 			}
 			acknowledged, _ = f.ApplyRelayed(now, "control-1", m)
 			now = now.Add(300 * time.Millisecond)
@@ -81,7 +81,7 @@
 }
 
 // Relaying must not make a silent instance appear present for longer.
-func TestSilenceIsRelayedAsItIs(t *testing.T) {
+func TestSilenceIsRelayed(t *testing.T) {
 	var r Reports
 	var f Fleet
 	r.RecordCall(start, watchRequest("entry-1", fleetpb.Role_ROLE_ENTRY))
@@ -104,7 +104,7 @@
 }
 
 // The followers of a lost control instance must not count as heard after its last message.
-func TestALostRelayRefreshesNobody(t *testing.T) {
+func TestFollowersOfLostControlInstanceExpire(t *testing.T) {
 	var lost, other Reports
 	var f Fleet
 	for _, name := range []string{"entry-1", "entry-2"} {
@@ -124,7 +124,7 @@
 }
 
 // Ended calls must be counted once if a reply is lost or a message arrives repeatedly or late.
-func TestEndedCallsCountOnce(t *testing.T) {
+func TestEndedCallsAreCountedOnce(t *testing.T) {
 	var r Reports
 	var f Fleet
 	r.RecordCall(start, watchRequest("entry-1", fleetpb.Role_ROLE_ENTRY))
@@ -150,7 +150,7 @@
 }
 
 // A message must be ignored if the sender or the receiver is a different process.
-func TestAMessageWithoutItsBaseChangesNothing(t *testing.T) {
+func TestMessageWithoutBaseIsIgnored(t *testing.T) {
 	var r, restarted Reports
 	var f, receiver Fleet
 	r.RecordCall(start, watchRequest("entry-1", fleetpb.Role_ROLE_ENTRY))
@@ -171,7 +171,7 @@
 }
 
 // The removal of expired followers must be relayed.
-func TestForgottenFollowersLeave(t *testing.T) {
+func TestExpiredFollowersAreRemoved(t *testing.T) {
 	var r Reports
 	var f Fleet
 	r.RecordCall(start, watchRequest("entry-1", fleetpb.Role_ROLE_ENTRY))
