--- a/rockbarrow/controller/controller.go
+++ b/rockbarrow/controller/controller.go
@@ -83,15 +83,15 @@
 	// processID identifies this process to entry instances, so that they detect a restart.
 	processID uint64
 	quotas    quota.Counter
-	// voteStore persists the acceptor's record.
-	voteStore    *voteStore
+	// votes persists the acceptor's record.
+	votes        *voteStore
 	presence     presence
 	loads        loads
 	incarnations incarnationTracker
 	// listMu serializes the numbering and publishing of lists.
-	listMu             sync.Mutex
-	tables             tables
-	memberSummaryCache atomic.Pointer[memberSummary]
+	listMu        sync.Mutex
+	tables        tables
+	cachedSummary atomic.Pointer[memberSummary]
 	// listHistory computes the differences between lists that receivers need.
 	listHistory catalog.History
 	// packableList is the newest list sent to an instance of an earlier version.
@@ -130,11 +130,11 @@
 
 // Open loads the votes from disk. The instance answers vote requests once Open has returned.
 func (c *Controller) Open() error {
-	disk, record, err := openVotes(c.DataDir)
+	votes, record, err := openVotes(c.DataDir)
 	if err != nil {
 		return err
 	}
-	c.voteStore = disk
+	c.votes = votes
 	c.tables.init(c)
 	c.incarnations.controller = c
 	c.reach.Store(&fleetpb.Reach{FailureDomains: []string{c.Self.GetFailureDomain()}, AllRelay: true})
--- a/rockbarrow/controller/controller_test.go
+++ b/rockbarrow/controller/controller_test.go
@@ -267,7 +267,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.voteStore = &voteStore{value: cell, promise: cell}
+	c.votes = &voteStore{value: cell, promise: cell}
 	req := &fleetpb.PrepareRequest{Ballot: &fleetpb.Ballot{Round: 5}, Acceptor: 1}
 	if reply, err := c.Prepare(t.Context(), req); err == nil {
 		t.Errorf("a promise was sent without being on disk: %v", reply)
--- a/rockbarrow/controller/coordinator.go
+++ b/rockbarrow/controller/coordinator.go
@@ -77,7 +77,7 @@
 
 func (d *coordinator) tick(ctx context.Context, now time.Time) {
 	d.confirmAccepted(ctx, now)
-	d.markFormed()
+	d.recordFormed()
 	d.logUnformed(now)
 	c := d.controller
 	// If the first in rank cannot reach enough seeds, others try after fallbackDelay.
@@ -159,9 +159,9 @@
 	return out
 }
 
-// markFormed records on disk that a deployment exists if this instance holds no vote in it, so that
+// recordFormed records on disk that a deployment exists if this instance holds no vote in it, so that
 // it never helps to bootstrap another one.
-func (d *coordinator) markFormed() {
+func (d *coordinator) recordFormed() {
 	c := d.controller
 	if c.State() == nil || c.savedRecord.Load().GetFormed() || c.savedRecord.Load().GetState() != nil {
 		return
--- a/rockbarrow/controller/customers_test.go
+++ b/rockbarrow/controller/customers_test.go
@@ -107,7 +107,7 @@
 	for i, heard := range []time.Time{now, now, now, now.Add(-5 * time.Second)} {
 		p.controller.presence.recordCall(heard, &fleetpb.WatchRequest{Sender: &fleetpb.Member{Instance: fmt.Sprint("entry-", i), FailureDomain: "a"}, Role: fleetpb.Role_ROLE_ENTRY, Serves: true})
 	}
-	p.controller.memberSummaryCache.Store(nil)
+	p.controller.cachedSummary.Store(nil)
 	p.controller.memberSummary(now)
 	granted := 0
 	for range 20 {
--- a/rockbarrow/controller/loads.go
+++ b/rockbarrow/controller/loads.go
@@ -75,12 +75,12 @@
 }
 
 // replaceReport replaces an instance's running calls; the caller holds mu.
-func (l *loads) replaceReport(now time.Time, reporter string, uses []*fleetpb.EndpointUse, relay bool) {
+func (l *loads) replaceReport(now time.Time, reporter string, uses []*fleetpb.EndpointUse, relayed bool) {
 	if l.reporters == nil {
 		l.reporters, l.running, l.outcomes = map[string]*report{}, map[life.Life]uint32{}, map[life.Life]*outcomes{}
 	}
 	l.removeReport(reporter)
-	r := &report{received: now, running: map[life.Life]uint32{}, relayed: relay}
+	r := &report{received: now, running: map[life.Life]uint32{}, relayed: relayed}
 	l.reporters[reporter] = r
 	for _, u := range uses {
 		if n := u.GetRunning(); n > 0 {
@@ -178,9 +178,9 @@
 
 // endpointLoad is the load of one endpoint, identified by its index in a list.
 type endpointLoad struct {
-	index    int
-	running  uint32
-	outcomes outcomes
+	index   int
+	running uint32
+	recent  outcomes
 }
 
 // forEntry returns the loads of the endpoints in a list for an entry instance, without its own
@@ -194,12 +194,12 @@
 		n := len(list.List().GetEndpoints())
 		out.Running, out.Failing = make([]uint32, n), make([]uint32, n)
 		for _, k := range known {
-			out.Running[k.index], out.Failing[k.index] = k.running, k.outcomes.failurePercent()
+			out.Running[k.index], out.Failing[k.index] = k.running, k.recent.failurePercent()
 		}
 		return out
 	}
 	for _, k := range known {
-		if failing := k.outcomes.failurePercent(); k.running > 0 || failing > 0 {
+		if failing := k.recent.failurePercent(); k.running > 0 || failing > 0 {
 			out.Index = append(out.Index, uint32(k.index))
 			out.Running = append(out.Running, k.running)
 			out.Failing = append(out.Failing, failing)
@@ -228,7 +228,7 @@
 		}
 		if i, ok := indexOfIncarnation(list, key); ok {
 			o.decay(now)
-			out = append(out, endpointLoad{index: i, outcomes: *o})
+			out = append(out, endpointLoad{index: i, recent: *o})
 		}
 	}
 	slices.SortFunc(out, func(a, b endpointLoad) int { return a.index - b.index })
@@ -242,8 +242,8 @@
 		if n > 0 && sorted[n-1].index == k.index {
 			last := &sorted[n-1]
 			last.running += k.running
-			last.outcomes.answered += k.outcomes.answered
-			last.outcomes.failed += k.outcomes.failed
+			last.recent.answered += k.recent.answered
+			last.recent.failed += k.recent.failed
 			continue
 		}
 		sorted[n] = k
--- a/rockbarrow/controller/rounds.go
+++ b/rockbarrow/controller/rounds.go
@@ -214,7 +214,7 @@
 	before := c.acceptor.Record()
 	reply, changed := c.acceptor.Prepare(req)
 	if changed {
-		if err := c.saveVote(before, c.voteStore.savePromise); err != nil {
+		if err := c.saveVote(before, c.votes.savePromise); err != nil {
 			return nil, err
 		}
 	}
@@ -235,7 +235,7 @@
 	before := c.acceptor.Record()
 	reply, changed := c.acceptor.Accept(req)
 	if changed {
-		if err := c.saveVote(before, c.voteStore.saveValue); err != nil {
+		if err := c.saveVote(before, c.votes.saveValue); err != nil {
 			return nil, err
 		}
 	}
@@ -250,7 +250,7 @@
 	if !c.acceptor.MarkFormed() {
 		return nil
 	}
-	return c.saveVote(before, c.voteStore.savePromise)
+	return c.saveVote(before, c.votes.savePromise)
 }
 
 // saveVote writes the acceptor's record to disk. If the write fails, the acceptor is restored to
--- a/rockbarrow/controller/updates.go
+++ b/rockbarrow/controller/updates.go
@@ -110,13 +110,13 @@
 
 // memberSummary returns a recent summary. Concurrent calls may compute it twice.
 func (c *Controller) memberSummary(now time.Time) *memberSummary {
-	if summary := c.memberSummaryCache.Load(); summary != nil && now.Sub(summary.at) < memberSummaryTTL {
+	if summary := c.cachedSummary.Load(); summary != nil && now.Sub(summary.at) < memberSummaryTTL {
 		return summary
 	}
 	summary := &memberSummary{at: now, control: c.controlMembers(now, membership.LivenessTimeout)}
 	summary.controlChecksum = membersChecksum(summary.control)
 	summary.entryDomains, summary.presentEntries = c.presence.entryDomains(now)
-	c.memberSummaryCache.Store(summary)
+	c.cachedSummary.Store(summary)
 	c.quotas.SetMissingShare(silentShare(summary.entryDomains))
 	return summary
 }
--- a/rockbarrow/controller/votes_test.go
+++ b/rockbarrow/controller/votes_test.go
@@ -43,7 +43,7 @@
 	waitFor(t, func() bool { return acceptedByAll(cluster, largeDocument("one")) })
 	var before [][]byte
 	for _, p := range cluster {
-		before = append(before, p.controller.voteStore.value.Value())
+		before = append(before, p.controller.votes.value.Value())
 	}
 	if _, err := cluster[0].controller.Read(t.Context()); err != nil {
 		t.Fatal(err)
@@ -52,7 +52,7 @@
 		t.Errorf("a promise takes %d bytes on disk", n)
 	}
 	for i, p := range cluster {
-		if after := p.controller.voteStore.value.Value(); !bytes.Equal(after, before[i]) || len(after) < len(largeDocument("one")) {
+		if after := p.controller.votes.value.Value(); !bytes.Equal(after, before[i]) || len(after) < len(largeDocument("one")) {
 			t.Errorf("voter %d rewrote the value: %d bytes, %d before", i, len(after), len(before[i]))
 		}
 	}
--- a/rockbarrow/relay/fleet.go
+++ b/rockbarrow/relay/fleet.go
@@ -33,7 +33,7 @@
 
 // relayState is the state relayed by another control instance.
 type relayState struct {
-	process, sequence uint64
+	processID, sequence uint64
 	// lastHeard is when its last message was received.
 	lastHeard time.Time
 	followers map[string]*relayedFollower
@@ -67,14 +67,14 @@
 		f.relays = map[string]*relayState{}
 	}
 	r := f.relays[from]
-	if r != nil && r.process == m.GetProcess() && m.GetSequence() < r.sequence {
+	if r != nil && r.processID == m.GetProcess() && m.GetSequence() < r.sequence {
 		// The message was overtaken by a newer one.
 		return r.sequence, nil
 	}
 	if m.GetSince() == 0 {
-		r = &relayState{process: m.GetProcess(), followers: map[string]*relayedFollower{}}
+		r = &relayState{processID: m.GetProcess(), followers: map[string]*relayedFollower{}}
 		f.relays[from] = r
-	} else if r == nil || r.process != m.GetProcess() || m.GetSince() > r.sequence {
+	} else if r == nil || r.processID != m.GetProcess() || m.GetSince() > r.sequence {
 		return 0, nil
 	}
 	for _, e := range m.GetEnded() {
