--- a/rockbarrow/catalog/catalog_test.go
+++ b/rockbarrow/catalog/catalog_test.go
@@ -30,7 +30,7 @@
 // replaceEndpoints returns a list with the given endpoints replaced, removed (nil) or added.
 func replaceEndpoints(l *List, number uint64, changed map[string]*fleetpb.Endpoint) *List {
 	out := &fleetpb.EndpointList{Number: number}
-	for _, e := range l.List().GetEndpoints() {
+	for _, e := range l.Proto().GetEndpoints() {
 		if _, ok := changed[e.GetId()]; !ok {
 			out.Endpoints = append(out.Endpoints, e)
 		}
@@ -60,8 +60,8 @@
 		copied := 0
 		ForEachDifference(from, got, func(_, _ *fleetpb.Endpoint) { copied++ })
 		shared := 0
-		for i, e := range got.List().GetEndpoints()[8 : n-1] {
-			if e == from.List().GetEndpoints()[i+9] {
+		for i, e := range got.Proto().GetEndpoints()[8 : n-1] {
+			if e == from.Proto().GetEndpoints()[i+9] {
 				shared++
 			}
 		}
@@ -199,8 +199,8 @@
 		if err != nil {
 			return
 		}
-		endpoints := got.List().GetEndpoints()
-		if !slices.IsSortedFunc(endpoints, compareIDs) || hasDuplicates(endpoints) || New(got.List()).Checksum() != c.GetSum() {
+		endpoints := got.Proto().GetEndpoints()
+		if !slices.IsSortedFunc(endpoints, compareIDs) || hasDuplicates(endpoints) || New(got.Proto()).Checksum() != c.GetSum() {
 			t.Error("the result does not match its checksum")
 		}
 	})
--- a/rockbarrow/catalog/change.go
+++ b/rockbarrow/catalog/change.go
@@ -29,7 +29,7 @@
 
 // Diff returns the change that turns one list into another.
 func Diff(from, to *List) *fleetpb.ListChange {
-	out := &fleetpb.ListChange{Number: to.Number(), BaseSum: from.Checksum(), Sum: to.Checksum(), Calls: to.List().GetCalls()}
+	out := &fleetpb.ListChange{Number: to.Number(), BaseSum: from.Checksum(), Sum: to.Checksum(), Calls: to.Proto().GetCalls()}
 	ForEachDifference(from, to, func(before, after *fleetpb.Endpoint) {
 		if after != nil {
 			out.Changed = append(out.Changed, after)
@@ -42,7 +42,7 @@
 
 // Snapshot returns a change that produces the list from any base.
 func Snapshot(l *List) (*fleetpb.ListChange, error) {
-	b, err := proto.Marshal(l.List())
+	b, err := proto.Marshal(l.Proto())
 	if err != nil {
 		return nil, errors.Wrap(err, "catalog: encode snapshot")
 	}
@@ -50,7 +50,7 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "catalog: encode snapshot")
 	}
-	return &fleetpb.ListChange{Number: l.Number(), Sum: l.Checksum(), Whole: frame, Calls: l.List().GetCalls()}, nil
+	return &fleetpb.ListChange{Number: l.Number(), Sum: l.Checksum(), Whole: frame, Calls: l.Proto().GetCalls()}, nil
 }
 
 // Apply returns the list that results from a change. It returns a [BaseError] or a [ChecksumError]
@@ -92,7 +92,7 @@
 // merge applies the changed and removed endpoints. Removing an endpoint that is not held results in
 // a wrong checksum, which Apply detects.
 func merge(held *List, c *fleetpb.ListChange) *List {
-	old := held.List().GetEndpoints()
+	old := held.Proto().GetEndpoints()
 	out, sum := make([]*fleetpb.Endpoint, 0, len(old)+len(c.GetChanged())), held.Checksum()
 	changed, removed := c.GetChanged(), c.GetRemoved()
 	for len(old) > 0 || len(changed) > 0 {
--- a/rockbarrow/catalog/list.go
+++ b/rockbarrow/catalog/list.go
@@ -49,8 +49,8 @@
 	return false
 }
 
-// List returns the list as a message, or nil if l is nil.
-func (l *List) List() *fleetpb.EndpointList {
+// Proto returns the list as a message, or nil if l is nil.
+func (l *List) Proto() *fleetpb.EndpointList {
 	if l == nil {
 		return nil
 	}
@@ -58,7 +58,7 @@
 }
 
 // Number returns the number of the version, or zero if l is nil.
-func (l *List) Number() uint64 { return l.List().GetNumber() }
+func (l *List) Number() uint64 { return l.Proto().GetNumber() }
 
 // Checksum returns the checksum, or zero if l is nil.
 func (l *List) Checksum() uint64 {
@@ -70,7 +70,7 @@
 
 // Index returns the index of an endpoint and whether it was found.
 func (l *List) Index(id string) (int, bool) {
-	return slices.BinarySearchFunc(l.List().GetEndpoints(), id, func(e *fleetpb.Endpoint, id string) int {
+	return slices.BinarySearchFunc(l.Proto().GetEndpoints(), id, func(e *fleetpb.Endpoint, id string) int {
 		return strings.Compare(e.GetId(), id)
 	})
 }
@@ -105,7 +105,7 @@
 // ForEachDifference calls visit for each endpoint that differs between two lists, in ascending
 // order of ids. before is nil for an added endpoint, and after is nil for a removed one.
 func ForEachDifference(from, to *List, visit func(before, after *fleetpb.Endpoint)) {
-	a, b := from.List().GetEndpoints(), to.List().GetEndpoints()
+	a, b := from.Proto().GetEndpoints(), to.Proto().GetEndpoints()
 	for len(a) > 0 && len(b) > 0 {
 		if a[0] == b[0] {
 			a, b = a[1:], b[1:]
@@ -145,7 +145,7 @@
 // ShareEndpoints returns l with equal endpoints replaced by those of o, so that the two lists share
 // memory.
 func (l *List) ShareEndpoints(o *List) *List {
-	a, b := slices.Clone(l.List().GetEndpoints()), o.List().GetEndpoints()
+	a, b := slices.Clone(l.Proto().GetEndpoints()), o.Proto().GetEndpoints()
 	for i, j := 0, 0; i < len(a) && j < len(b); {
 		switch order := compareIDs(a[i], b[j]); {
 		case order < 0:
@@ -160,5 +160,5 @@
 			j++
 		}
 	}
-	return &List{list: &fleetpb.EndpointList{Number: l.Number(), Endpoints: a, Calls: l.List().GetCalls()}, checksum: l.checksum}
+	return &List{list: &fleetpb.EndpointList{Number: l.Number(), Endpoints: a, Calls: l.Proto().GetCalls()}, checksum: l.checksum}
 }
--- a/rockbarrow/controller/controller.go
+++ b/rockbarrow/controller/controller.go
@@ -213,9 +213,9 @@
 	return c.update
 }
 
-// Put applies a configuration unless the current one has the same or a higher version. It returns
+// PutConfiguration applies a configuration unless the current one has the same or a higher version. It returns
 // once a majority of the voters has stored the outcome.
-func (c *Controller) Put(ctx context.Context, version uint64, doc []byte) error {
+func (c *Controller) PutConfiguration(ctx context.Context, version uint64, doc []byte) error {
 	digest := document.Digest(doc)
 	_, err := c.Change(ctx, func(s *fleetpb.State) *fleetpb.State {
 		if s.GetNumber() == 0 || version <= s.GetConfiguration().GetVersion() {
--- a/rockbarrow/controller/loads.go
+++ b/rockbarrow/controller/loads.go
@@ -191,7 +191,7 @@
 	known := l.collect(now, entry, list)
 	out := &fleetpb.EndpointLoads{ListNumber: list.Number(), Sparse: sparse}
 	if !sparse {
-		n := len(list.List().GetEndpoints())
+		n := len(list.Proto().GetEndpoints())
 		out.Running, out.Failing = make([]uint32, n), make([]uint32, n)
 		for _, k := range known {
 			out.Running[k.index], out.Failing[k.index] = k.running, k.recent.failurePercent()
@@ -259,6 +259,6 @@
 	if !ok {
 		return 0, false
 	}
-	born := list.List().GetEndpoints()[i].GetBornMs()
+	born := list.Proto().GetEndpoints()[i].GetBornMs()
 	return i, key.BornMS == 0 || key.BornMS == born
 }
--- a/rockbarrow/controller/presence.go
+++ b/rockbarrow/controller/presence.go
@@ -133,7 +133,7 @@
 		}
 		if now.Sub(i.LastHeard) < servingTimeout {
 			byName[name].Heard++
-			if i.Serves {
+			if i.AcceptsRequests {
 				byName[name].Serving++
 			}
 		}
--- a/rockbarrow/controller/reader.go
+++ b/rockbarrow/controller/reader.go
@@ -119,7 +119,7 @@
 	c.listMu.Lock()
 	defer c.listMu.Unlock()
 	known := c.watch.List().Version()
-	annotated := &fleetpb.EndpointList{Endpoints: c.incarnations.annotate(time.Now(), known.List(), read.GetEndpoints()), Calls: read.GetCalls()}
+	annotated := &fleetpb.EndpointList{Endpoints: c.incarnations.annotate(time.Now(), known.Proto(), read.GetEndpoints()), Calls: read.GetCalls()}
 	c.offerList(c.numberList(known, annotated), requestedAt)
 }
 
--- a/rockbarrow/controller/updates.go
+++ b/rockbarrow/controller/updates.go
@@ -186,15 +186,15 @@
 		c.Log.WithError(err).Error("failed to encode a list of endpoints, sending it unencoded")
 	}
 	if req.GetCompact() || req.GetHeldLists() == nil {
-		r.List = l.List()
+		r.List = l.Proto()
 		return
 	}
 	known := c.packableList.Load()
-	if known.List() != l.List() {
-		packable, err := document.NewList(l.List())
+	if known.List() != l.Proto() {
+		packable, err := document.NewList(l.Proto())
 		if err != nil {
 			c.Log.WithError(err).Error("failed to encode a list of endpoints, sending it unencoded")
-			r.List = l.List()
+			r.List = l.Proto()
 			return
 		}
 		known = packable
--- a/rockbarrow/entry/updates.go
+++ b/rockbarrow/entry/updates.go
@@ -184,7 +184,7 @@
 	})
 	for _, p := range e.departures.waiting() {
 		if i, ok := to.Index(p); ok {
-			present = append(present, to.List().GetEndpoints()[i])
+			present = append(present, to.Proto().GetEndpoints()[i])
 		}
 	}
 	present = append(present, next.moved(old)...)
--- a/rockbarrow/relay/fleet.go
+++ b/rockbarrow/relay/fleet.go
@@ -19,8 +19,8 @@
 	LastHeard time.Time
 	// CopiedEpoch is the newest view whose records a store holds.
 	CopiedEpoch uint64
-	// Serves reports whether an entry instance accepts requests.
-	Serves bool
+	// AcceptsRequests reports whether an entry instance accepts requests.
+	AcceptsRequests bool
 }
 
 // Fleet holds the instances known to a control instance, both its own followers and relayed ones.
@@ -54,7 +54,7 @@
 		f.direct = map[string]*Instance{}
 	}
 	f.direct[req.GetSender().GetInstance()] = &Instance{
-		Member: req.GetSender(), Role: req.GetRole(), LastHeard: now, CopiedEpoch: req.GetCopiedEpoch(), Serves: req.GetServes(),
+		Member: req.GetSender(), Role: req.GetRole(), LastHeard: now, CopiedEpoch: req.GetCopiedEpoch(), AcceptsRequests: req.GetServes(),
 	}
 }
 
@@ -91,7 +91,7 @@
 	r.sequence, r.lastHeard = m.GetSequence(), now
 	for _, u := range m.GetFollowers() {
 		r.followers[u.GetMember().GetInstance()] = &relayedFollower{regular: u.GetSilentMs() == 0, Instance: Instance{
-			Member: u.GetMember(), Role: u.GetRole(), CopiedEpoch: u.GetCopiedEpoch(), Serves: u.GetServes(),
+			Member: u.GetMember(), Role: u.GetRole(), CopiedEpoch: u.GetCopiedEpoch(), AcceptsRequests: u.GetServes(),
 			LastHeard: now.Add(-time.Duration(u.GetSilentMs()) * time.Millisecond),
 		}}
 	}
--- a/rockbarrow/watch/received.go
+++ b/rockbarrow/watch/received.go
@@ -19,7 +19,7 @@
 
 // List returns the list, or nil if r is nil.
 func (r *ListSnapshot) List() *fleetpb.EndpointList {
-	return r.Version().List()
+	return r.Version().Proto()
 }
 
 // Version returns the list with its checksum, or nil if r is nil.
@@ -78,7 +78,7 @@
 			continue
 		}
 		if old == nil || next.list != old.list {
-			c.Log.WithFields(logrus.Fields{"list": l.Number(), "endpoints": len(l.List().GetEndpoints())}).
+			c.Log.WithFields(logrus.Fields{"list": l.Number(), "endpoints": len(l.Proto().GetEndpoints())}).
 				Info("a newer list of endpoints is in force")
 			c.notifyChange()
 		}
