--- a/rockbarrow/membership/doc.go
+++ b/rockbarrow/membership/doc.go
@@ -2,8 +2,9 @@
 
 // Package membership decides which stores hold records and which control instances vote.
 //
-// A [Planner] looks at who was heard and makes one step at a time: the first view, the
-// replacement of a store that is lost, emptied or wanted away, the end of a move, another
-// voter. It does no I/O and reads no clock; package controller proposes its steps to the
-// register. [CheckRetire] tells whether operators may empty a store.
+// A [Planner] derives the next reconfiguration step from the instances seen lately: the
+// first view, the replacement of a lost, wiped or leaving store, the end of a view
+// change, or a change of voters. It performs no I/O and reads no clock; package
+// controller proposes its steps to the register. [CheckRetire] tells whether operators
+// may retire a store.
 package membership
--- a/rockbarrow/membership/peer.go
+++ b/rockbarrow/membership/peer.go
@@ -8,15 +8,15 @@
 	"rockbarrow.dev/schema/fleetpb"
 )
 
-// LivenessTimeout is how lately an instance must have called to count as present. It calls
-// each 0.3 s, and at the longest each 0.55 s and a pause where calls fail.
+// LivenessTimeout is how long after its last call an instance counts as present. It
+// allows for several missed or failed heartbeats.
 const LivenessTimeout = 2500 * time.Millisecond
 
-// Peer is an instance as a control instance knows it.
+// Peer is an instance as seen by a control instance.
 type Peer struct {
 	Member *fleetpb.Member
-	// LastSeen is when it called last.
+	// LastSeen is the time of its last call.
 	LastSeen time.Time
-	// CopiedEpoch is the newest view whose records a store holds.
+	// CopiedEpoch is the newest view for which a store holds all its records.
 	CopiedEpoch uint64
 }
--- a/rockbarrow/membership/plan.go
+++ b/rockbarrow/membership/plan.go
@@ -12,38 +12,37 @@
 )
 
 const (
-	// calmAfter is how long a control instance must have run before it takes
-	// another's silence for a loss.
-	calmAfter = 4 * time.Second
-	// lostAfter is how long a member stays silent before a spare one takes its
-	// place. Shorter would move records when a process restarts.
-	lostAfter = 3500 * time.Millisecond
-	// cutAtMost is how long a failure domain may be silent as a whole before its stores
-	// count as lost. Cuts end by themselves, after 8 s at the most by the platform's
-	// bound, and each group holds few stores of one domain; to replace some of them
-	// meanwhile moves records twice and slows every turn. Some seconds more, for what
-	// comes back after a cut.
-	cutAtMost = 15 * time.Second
+	// minUptime is how long a control instance must have run before silent members
+	// can count as lost.
+	minUptime = 4 * time.Second
+	// lostTimeout is how long a member must be silent to count as lost. It exceeds
+	// the time of a restart, which must not move records.
+	lostTimeout = 3500 * time.Millisecond
+	// domainLostTimeout is how long a whole failure domain must be silent before its
+	// stores count as lost. It exceeds the platform's bound of 8 s on network
+	// partitions: groups keep their quorum meanwhile, and replacing the stores would
+	// move records twice.
+	domainLostTimeout = 15 * time.Second
 )
 
-// Planner decides the next step of the members. It is made anew from what is known at each
-// tick. Set the exported fields before the call of [Planner.Next].
+// Planner computes the next reconfiguration step. A new one is created on each tick; the
+// exported fields must be set before [Planner.Next] is called.
 type Planner struct {
 	Now     time.Time
 	Stores  []Peer
 	Control []Peer
-	// LiveDomains are the failure domains of which any instance was heard lately.
+	// LiveDomains holds the failure domains of which any instance was seen lately.
 	LiveDomains map[string]bool
-	// Copies is how many stores keep a program's records.
+	// Copies is the number of stores that keep a program's records.
 	Copies int
-	// StoresStable is true when no store has come lately.
+	// StoresStable is true if no store has joined lately.
 	StoresStable bool
 	Self         *fleetpb.Member
-	// Uptime is how long this instance has run: nobody's silence is known to be longer.
+	// Uptime is how long this instance has run, which bounds the silence it can observe.
 	Uptime time.Duration
 }
 
-// Next returns the state with one step made, or nil if there is none to make.
+// Next returns the state after the next step, or nil if no step is needed.
 func (p Planner) Next(s *fleetpb.State) *fleetpb.State {
 	s = register.CloneState(s)
 	if p.nextView(s) || p.nextVoters(s) {
@@ -58,11 +57,11 @@
 	case v == nil:
 		return p.firstView(s)
 	case len(v.GetPrior()) > 0:
-		return p.finishView(s)
+		return p.finishViewChange(s)
 	}
-	members := p.wantedStores(s)
+	members := p.targetStores(s)
 	if register.SameMembers(members, v.GetMembers()) {
-		return retireOthers(s)
+		return retireNonMembers(s)
 	}
 	v.Prior, v.Members = v.GetMembers(), members
 	v.Epoch++
@@ -72,7 +71,7 @@
 func (p Planner) firstView(s *fleetpb.State) bool {
 	var members []*fleetpb.Member
 	for _, peer := range p.Stores {
-		if p.present(peer) {
+		if p.isPresent(peer) {
 			members = append(members, peer.Member)
 		}
 	}
@@ -83,42 +82,43 @@
 	return true
 }
 
-// finishView ends a move once the new members hold what they need. A few may be
-// missing: each group then still has a quorum that does.
-func (p Planner) finishView(s *fleetpb.State) bool {
+// finishViewChange ends a view change once the new members have copied their records.
+// A few members may be missing if every group still has a read quorum without them.
+func (p Planner) finishViewChange(s *fleetpb.State) bool {
 	v := s.GetView()
 	missing := 0
 	for _, m := range v.GetMembers() {
-		peer, ok := find(p.Stores, m.GetStorage())
+		peer, ok := findPeer(p.Stores, m.GetStorage())
 		if ok && peer.CopiedEpoch >= v.GetEpoch() {
 			continue
 		}
-		// One that is present will be done soon.
-		if ok && p.present(peer) {
+		// A present member is still copying.
+		if ok && p.isPresent(peer) {
 			return false
 		}
 		missing++
 	}
-	if missing > 0 && !ledger.ReadQuorumInAllGroups(v.GetMembers(), p.Copies, p.copiedFor(v.GetEpoch())) {
+	if missing > 0 && !ledger.ReadQuorumInAllGroups(v.GetMembers(), p.Copies, p.hasCopied(v.GetEpoch())) {
 		return false
 	}
 	v.Prior = nil
 	v.Epoch++
-	retireOthers(s)
+	retireNonMembers(s)
 	return true
 }
 
-// copiedFor returns a function that reports whether a store holds what a view needs.
-func (p Planner) copiedFor(epoch uint64) func(storage uint64) bool {
+// hasCopied returns a function that reports whether a store has copied its records for
+// a view.
+func (p Planner) hasCopied(epoch uint64) func(storage uint64) bool {
 	return func(storage uint64) bool {
-		peer, ok := find(p.Stores, storage)
+		peer, ok := findPeer(p.Stores, storage)
 		return ok && peer.CopiedEpoch >= epoch
 	}
 }
 
-// retireOthers calls the leaving stores emptied that are no members, spare ones
-// included, which hold nothing. It reports whether there were any.
-func retireOthers(s *fleetpb.State) bool {
+// retireNonMembers marks leaving stores as retired if they are not members, and thus
+// hold no needed records. It reports whether there were any.
+func retireNonMembers(s *fleetpb.State) bool {
 	v := s.GetView()
 	before := len(v.GetLeaving())
 	v.Leaving = slices.DeleteFunc(v.GetLeaving(), func(name string) bool {
@@ -133,9 +133,9 @@
 	return len(v.GetLeaving()) < before
 }
 
-// wantedStores returns the members that should be: each at its place, with its
-// present storage, unless it leaves or is lost and a spare can stand in.
-func (p Planner) wantedStores(s *fleetpb.State) []*fleetpb.Member {
+// targetStores returns the desired members: each current member in its position, with
+// its latest storage, or a spare in place of a leaving or lost one.
+func (p Planner) targetStores(s *fleetpb.State) []*fleetpb.Member {
 	v := s.GetView()
 	spares := p.spares(s)
 	var out []*fleetpb.Member
@@ -145,9 +145,9 @@
 			if len(spares) > 0 {
 				out, spares = append(out, spares[0]), spares[1:]
 			}
-		case p.reborn(m) != nil:
-			out = append(out, p.reborn(m))
-		case p.storeLost(m) && len(spares) > 0:
+		case p.returnedMember(m) != nil:
+			out = append(out, p.returnedMember(m))
+		case p.isStoreLost(m) && len(spares) > 0:
 			out, spares = append(out, spares[0]), spares[1:]
 		default:
 			out = append(out, m)
@@ -156,34 +156,33 @@
 	for len(out) < p.Copies && len(spares) > 0 {
 		out, spares = append(out, spares[0]), spares[1:]
 	}
-	return p.withoutLost(out)
+	return p.dropLost(out)
 }
 
-// withoutLost leaves out lost members once too few are there to write but enough
-// to read: of two stores, the one that is left goes on alone, as it holds every
-// record. The other comes back as a spare and copies.
-func (p Planner) withoutLost(members []*fleetpb.Member) []*fleetpb.Member {
-	var there []*fleetpb.Member
+// dropLost removes lost members if the remaining ones are too few for a write quorum
+// but enough for a read quorum: of two stores, the remaining one continues alone, as it
+// holds every record. The other one returns as a spare and copies the records.
+func (p Planner) dropLost(members []*fleetpb.Member) []*fleetpb.Member {
+	var present []*fleetpb.Member
 	for _, m := range members {
-		if !p.lost(p.Stores, m) {
-			there = append(there, m)
+		if !p.isLost(p.Stores, m) {
+			present = append(present, m)
 		}
 	}
 	n := min(p.Copies, len(members))
-	if lost := len(members) - len(there); lost > ledger.MaxWriteFailures(n) && lost <= ledger.MaxReadFailures(n) {
-		return there
+	if lost := len(members) - len(present); lost > ledger.MaxWriteFailures(n) && lost <= ledger.MaxReadFailures(n) {
+		return present
 	}
 	return members
 }
 
-// spares are present stores that are not members, do not leave and have not been
-// emptied.
+// spares returns the present stores that are not members, leaving or retired.
 func (p Planner) spares(s *fleetpb.State) []*fleetpb.Member {
 	v := s.GetView()
 	var out []*fleetpb.Member
 	for _, peer := range p.Stores {
 		name := peer.Member.GetInstance()
-		if !p.present(peer) || hasInstance(v.GetMembers(), name) {
+		if !p.isPresent(peer) || hasInstance(v.GetMembers(), name) {
 			continue
 		}
 		if slices.Contains(v.GetLeaving(), name) || slices.Contains(s.GetRetired(), name) {
@@ -194,46 +193,46 @@
 	return out
 }
 
-// reborn returns the present life of a member that came back with an empty disk
-// or at another address.
-func (p Planner) reborn(m *fleetpb.Member) *fleetpb.Member {
+// returnedMember returns the member record of a store that returned with another
+// storage, for example after the loss of its disk, or nil.
+func (p Planner) returnedMember(m *fleetpb.Member) *fleetpb.Member {
 	for _, peer := range p.Stores {
 		o := peer.Member
-		if o.GetInstance() == m.GetInstance() && o.GetStorage() != m.GetStorage() && p.present(peer) {
+		if o.GetInstance() == m.GetInstance() && o.GetStorage() != m.GetStorage() && p.isPresent(peer) {
 			return o
 		}
 	}
 	return nil
 }
 
-func (p Planner) present(s Peer) bool { return p.Now.Sub(s.LastSeen) < LivenessTimeout }
+func (p Planner) isPresent(s Peer) bool { return p.Now.Sub(s.LastSeen) < LivenessTimeout }
 
-// lost reports whether a member has been silent for long.
-func (p Planner) lost(peers []Peer, m *fleetpb.Member) bool {
-	if p.Uptime <= calmAfter || m.GetStorage() == p.Self.GetStorage() {
+// isLost reports whether a member has been silent for longer than lostTimeout.
+func (p Planner) isLost(peers []Peer, m *fleetpb.Member) bool {
+	if p.Uptime <= minUptime || m.GetStorage() == p.Self.GetStorage() {
 		return false
 	}
-	peer, ok := find(peers, m.GetStorage())
-	return !ok || p.Now.Sub(peer.LastSeen) > lostAfter
+	peer, ok := findPeer(peers, m.GetStorage())
+	return !ok || p.Now.Sub(peer.LastSeen) > lostTimeout
 }
 
-// storeLost reports whether a store has been silent for so long that another takes its
-// place, longer where its whole failure domain is.
-func (p Planner) storeLost(m *fleetpb.Member) bool {
-	if !p.lost(p.Stores, m) {
+// isStoreLost reports whether a store has been silent long enough to be replaced. The
+// limit is longer if its whole failure domain is silent.
+func (p Planner) isStoreLost(m *fleetpb.Member) bool {
+	if !p.isLost(p.Stores, m) {
 		return false
 	}
 	if p.LiveDomains[m.GetFailureDomain()] {
 		return true
 	}
 	silent := p.Uptime
-	if peer, ok := find(p.Stores, m.GetStorage()); ok {
+	if peer, ok := findPeer(p.Stores, m.GetStorage()); ok {
 		silent = p.Now.Sub(peer.LastSeen)
 	}
-	return silent > cutAtMost
+	return silent > domainLostTimeout
 }
 
-func find(peers []Peer, storage uint64) (Peer, bool) {
+func findPeer(peers []Peer, storage uint64) (Peer, bool) {
 	for _, s := range peers {
 		if s.Member.GetStorage() == storage {
 			return s, true
--- a/rockbarrow/membership/retire.go
+++ b/rockbarrow/membership/retire.go
@@ -8,31 +8,31 @@
 	"rockbarrow.dev/schema/fleetpb"
 )
 
-// UnknownStoreError says that no store has a name.
+// UnknownStoreError reports that no store has the given name.
 type UnknownStoreError struct{ Name string }
 
-// Error names the store.
-func (e *UnknownStoreError) Error() string { return "membership: no store is named " + e.Name }
+// Error implements error.
+func (e *UnknownStoreError) Error() string { return "membership: unknown store " + e.Name }
 
-// TooFewStoresError says that a store can't be emptied.
+// TooFewStoresError reports that a store can't be retired without losing the fault tolerance.
 type TooFewStoresError struct{ Remaining, Needed int }
 
-// Error describes the shortage.
-func (e *TooFewStoresError) Error() string { return "membership: too few stores would be left" }
+// Error implements error.
+func (e *TooFewStoresError) Error() string { return "membership: too few stores would remain" }
 
-// CheckRetire returns why a store can't be emptied, or nil. So many must be left
-// that the tolerated losses leave one.
+// CheckRetire returns an error if a store can't be retired, because it is unknown or
+// because fewer stores than needed would remain.
 func CheckRetire(s *fleetpb.State, present []Peer, name string, needed int) error {
 	if slices.Contains(s.GetRetired(), name) || slices.Contains(s.GetView().GetLeaving(), name) {
 		return nil
 	}
-	known, left := false, 0
+	known, remaining := false, 0
 	count := func(m *fleetpb.Member) {
 		switch {
 		case m.GetInstance() == name:
 			known = true
 		case !slices.Contains(s.GetView().GetLeaving(), m.GetInstance()):
-			left++
+			remaining++
 		}
 	}
 	for _, m := range s.GetView().GetMembers() {
@@ -46,8 +46,8 @@
 	if !known {
 		return &UnknownStoreError{Name: name}
 	}
-	if left < needed {
-		return &TooFewStoresError{Remaining: left, Needed: needed}
+	if remaining < needed {
+		return &TooFewStoresError{Remaining: remaining, Needed: needed}
 	}
 	return nil
 }
--- a/rockbarrow/membership/voters.go
+++ b/rockbarrow/membership/voters.go
@@ -9,13 +9,13 @@
 	"rockbarrow.dev/schema/fleetpb"
 )
 
-// nextVoters moves one voter at a time; while two sets count, it ends the move.
+// nextVoters replaces or adds one voter at a time, or ends the change under way.
 func (p Planner) nextVoters(s *fleetpb.State) bool {
 	if len(s.GetPriorVoters()) > 0 {
 		s.PriorVoters = nil
 		return true
 	}
-	wanted := p.wantedVoters(s.GetVoters())
+	wanted := p.targetVoters(s.GetVoters())
 	if register.SameMembers(wanted, s.GetVoters()) {
 		return false
 	}
@@ -23,16 +23,16 @@
 	return true
 }
 
-func (p Planner) wantedVoters(voters []*fleetpb.Member) []*fleetpb.Member {
-	spares := p.spareControl(voters)
+func (p Planner) targetVoters(voters []*fleetpb.Member) []*fleetpb.Member {
+	spares := p.spareVoters(voters)
 	for i, m := range voters {
 		for _, o := range spares {
 			if o.GetInstance() == m.GetInstance() {
-				return replaced(voters, i, o)
+				return replaceMember(voters, i, o)
 			}
 		}
-		if p.lost(p.Control, m) && len(spares) > 0 {
-			return replaced(voters, i, spares[0])
+		if p.isLost(p.Control, m) && len(spares) > 0 {
+			return replaceMember(voters, i, spares[0])
 		}
 	}
 	if len(voters) < p.Copies && len(spares) > 0 {
@@ -41,21 +41,21 @@
 	return voters
 }
 
-// spareControl returns control instances that have no vote.
-func (p Planner) spareControl(voters []*fleetpb.Member) []*fleetpb.Member {
+// spareVoters returns the present control instances without a vote.
+func (p Planner) spareVoters(voters []*fleetpb.Member) []*fleetpb.Member {
 	var out []*fleetpb.Member
 	if !register.ContainsStorage(voters, p.Self.GetStorage()) {
 		out = append(out, p.Self)
 	}
 	for _, peer := range p.Control {
-		if p.present(peer) && !register.ContainsStorage(voters, peer.Member.GetStorage()) {
+		if p.isPresent(peer) && !register.ContainsStorage(voters, peer.Member.GetStorage()) {
 			out = append(out, peer.Member)
 		}
 	}
 	return out
 }
 
-func replaced(list []*fleetpb.Member, i int, m *fleetpb.Member) []*fleetpb.Member {
+func replaceMember(list []*fleetpb.Member, i int, m *fleetpb.Member) []*fleetpb.Member {
 	out := slices.Clone(list)
 	out[i] = m
 	return out
