--- a/rockbarrow/ledger/coverage_test.go
+++ b/rockbarrow/ledger/coverage_test.go
@@ -8,9 +8,9 @@
 	"testing"
 )
 
-// TestALostDomainLeavesAllGroupsCovered checks that groups keep their read quorum
+// TestReadQuorumAfterLossOfFailureDomains checks that groups keep their read quorum
 // after the loss of two of five failure domains, though not of three.
-func TestALostDomainLeavesAllGroupsCovered(t *testing.T) {
+func TestReadQuorumAfterLossOfFailureDomains(t *testing.T) {
 	members := newMembers("a", "a", "a", "b", "b", "b", "c", "c", "d", "d", "e", "e")
 	without := func(domains ...string) bool {
 		return ReadQuorumInAllGroups(members, 5, func(storage uint64) bool {
@@ -30,9 +30,9 @@
 	}
 }
 
-// TestCoveredGroupsHaveTheirReadQuorum compares ReadQuorumInAllGroups with the
+// TestReadQuorumInAllGroupsMatchesGroups compares ReadQuorumInAllGroups with the
 // groups of programs, for random deployments and losses.
-func TestCoveredGroupsHaveTheirReadQuorum(t *testing.T) {
+func TestReadQuorumInAllGroupsMatchesGroups(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
 	covered := 0
 	for range 3000 {
--- a/rockbarrow/ledger/ledger_test.go
+++ b/rockbarrow/ledger/ledger_test.go
@@ -19,7 +19,7 @@
 	return out
 }
 
-func TestGroupsSpreadOverDomains(t *testing.T) {
+func TestGroupsSpreadOverFailureDomains(t *testing.T) {
 	members := newMembers("a", "a", "a", "b", "b", "b", "c", "c")
 	for i := range 200 {
 		count := map[string]int{}
@@ -33,7 +33,7 @@
 	}
 }
 
-func TestAReplacedStoreKeepsItsGroups(t *testing.T) {
+func TestGroupIsIndependentOfStorage(t *testing.T) {
 	members := newMembers("a", "b", "c", "d", "e")
 	again := newMembers("a", "b", "c", "d", "e")
 	again[2].Storage = 99
@@ -48,7 +48,7 @@
 	}
 }
 
-func TestAMoveNeedsBothGroups(t *testing.T) {
+func TestQuorumsDuringViewChange(t *testing.T) {
 	all := newMembers("a", "b", "c", "d")
 	v := &fleetpb.View{Epoch: 2, Members: all[1:], Prior: all[:3], Copies: 3}
 	tracker := NewQuorumTracker(v, "p")
@@ -73,7 +73,7 @@
 	}
 }
 
-func TestASettlementCountsBeforeAReservation(t *testing.T) {
+func TestSettlementReplacesReservation(t *testing.T) {
 	var total ReservationSet
 	total.Merge([]*fleetpb.Reservation{{Turn: "1", Tokens: 100}, {Turn: "2", Tokens: 50}})
 	total.Merge([]*fleetpb.Reservation{{Turn: "1", Tokens: 30, Settled: true}})
@@ -86,9 +86,9 @@
 	}
 }
 
-// TestOneOfTwoReservationsSeesTheOther checks two concurrent reservations with all
+// TestOneOfTwoConcurrentReservationsSeesTheOther checks two concurrent reservations with all
 // pairs of quorums.
-func TestOneOfTwoReservationsSeesTheOther(t *testing.T) {
+func TestOneOfTwoConcurrentReservationsSeesTheOther(t *testing.T) {
 	quorums := [][]int{{0, 1}, {0, 2}, {1, 2}}
 	for _, qa := range quorums {
 		for _, qb := range quorums {
@@ -126,7 +126,7 @@
 	}}}
 }
 
-func TestChainsAreKeptWhileTheyAreUsed(t *testing.T) {
+func TestExpireKeepsUsedChains(t *testing.T) {
 	start := time.Unix(0, 0)
 	var b StateMachine
 	b.Apply(start, turnRecord("1", "", "p"))
@@ -146,9 +146,9 @@
 	}
 }
 
-// TestADurableRecordIsInEveryCopy checks that every write quorum shares a store
+// TestWriteQuorumIntersectsCopySources checks that every write quorum shares a store
 // with every sufficient set of sources.
-func TestADurableRecordIsInEveryCopy(t *testing.T) {
+func TestWriteQuorumIntersectsCopySources(t *testing.T) {
 	for n := 2; n <= 7; n++ {
 		prior := newMembers("a", "b", "c", "d", "e", "f", "g")[:n]
 		v := &fleetpb.View{Epoch: 2, Members: prior, Prior: prior, Copies: uint32(n)}
@@ -172,7 +172,7 @@
 	}
 }
 
-func TestWhoCopies(t *testing.T) {
+func TestMustCopyAndCopySources(t *testing.T) {
 	all := newMembers("a", "b", "c")
 	v := &fleetpb.View{Epoch: 2, Members: append(newMembers("a", "b"), &fleetpb.Member{Instance: "store-2", Storage: 9}), Prior: all, Copies: 3}
 	if !MustCopy(v, 9, "p", true) || MustCopy(v, 1, "p", false) {
@@ -188,7 +188,7 @@
 	}
 }
 
-func TestReadAndWriteQuorumsMeet(t *testing.T) {
+func TestQuorumsIntersect(t *testing.T) {
 	for n := 1; n <= 9; n++ {
 		if WriteQuorum(n)+ReadQuorum(n) <= n || 2*WriteQuorum(n) <= n {
 			t.Errorf("of %d stores, quorums of %d and %d need not intersect", n, WriteQuorum(n), ReadQuorum(n))
--- a/rockbarrow/membership/plan_test.go
+++ b/rockbarrow/membership/plan_test.go
@@ -45,7 +45,7 @@
 	}
 }
 
-func TestPlanOfStores(t *testing.T) {
+func TestPlannerStores(t *testing.T) {
 	a, b, c, d := member("a", 1), member("b", 2), member("c", 3), member("d", 4)
 	wiped := member("a", 9)
 	tests := []struct {
@@ -80,7 +80,7 @@
 	}
 }
 
-func TestSilenceIsNoLossWhileThisProcessKnowsTooLittle(t *testing.T) {
+func TestNoLossRightAfterStart(t *testing.T) {
 	p := newPlanner(member("b", 2), member("c", 3), member("d", 4))
 	p.Uptime = 0
 	if next := p.Next(newState(member("a", 1), member("b", 2), member("c", 3))); next != nil {
@@ -98,10 +98,10 @@
 	return members[:5], spare
 }
 
-// TestACutDomainIsNotReplaced guards against moving records while a network partition
+// TestPartitionedFailureDomainIsNotReplaced guards against moving records while a network partition
 // isolates a failure domain. A single lost store, or a domain that stays away for long,
 // is replaced.
-func TestACutDomainIsNotReplaced(t *testing.T) {
+func TestPartitionedFailureDomainIsNotReplaced(t *testing.T) {
 	members, spare := fiveDomains()
 	s := newState(members...)
 	s.View.Copies = 5
@@ -137,9 +137,9 @@
 	}
 }
 
-// TestAMoveEndsWithoutALostDomain checks that a view change ends while one failure
+// TestViewChangeEndsWithoutLostFailureDomain checks that a view change ends while one failure
 // domain is silent, as every group keeps a read quorum.
-func TestAMoveEndsWithoutALostDomain(t *testing.T) {
+func TestViewChangeEndsWithoutLostFailureDomain(t *testing.T) {
 	var members []*fleetpb.Member
 	for i, domain := range []string{"a", "a", "b", "b", "b", "c", "c", "d", "e"} {
 		members = append(members, &fleetpb.Member{Instance: fmt.Sprint("store-", i), Storage: uint64(i + 1), FailureDomain: domain})
@@ -156,7 +156,7 @@
 	}
 }
 
-func TestAMoveEndsOnceRecordsAreCopied(t *testing.T) {
+func TestViewChangeEndsAfterCopy(t *testing.T) {
 	a, b, c, d := member("a", 1), member("b", 2), member("c", 3), member("d", 4)
 	s := newState(d, b, c)
 	s.View.Epoch, s.View.Prior, s.View.Leaving = 2, []*fleetpb.Member{a, b, c}, []string{"a"}
@@ -181,7 +181,7 @@
 	}
 }
 
-func TestASpareIsEmptiedAtOnce(t *testing.T) {
+func TestSpareIsRetiredImmediately(t *testing.T) {
 	a, b, c, d := member("a", 1), member("b", 2), member("c", 3), member("d", 4)
 	s := newState(a, b, c)
 	s.View.Leaving = []string{"d"}
@@ -191,7 +191,7 @@
 	}
 }
 
-func TestWhichStoresMayBeEmptied(t *testing.T) {
+func TestCheckRetire(t *testing.T) {
 	a, b, c, d := member("a", 1), member("b", 2), member("c", 3), member("d", 4)
 	var few *TooFewStoresError
 	var unknown *UnknownStoreError
@@ -214,7 +214,7 @@
 	}
 }
 
-func TestPlanOfVoters(t *testing.T) {
+func TestPlannerVoters(t *testing.T) {
 	now := time.Unix(100, 0)
 	seen := func(m *fleetpb.Member, ago time.Duration) Peer {
 		return Peer{Member: m, LastSeen: now.Add(-ago)}
--- a/rockbarrow/store/copier_test.go
+++ b/rockbarrow/store/copier_test.go
@@ -32,9 +32,9 @@
 	return stream.Send(&fleetpb.CopyReply{Status: &fleetpb.StoreStatus{}, Last: true})
 }
 
-// TestATryCopiesOnlyWhatIsMissing checks that a retry copies only from the stores
+// TestRetryCopiesOnlyFromMissingSources checks that a retry copies only from the stores
 // that failed before, and that the copy succeeds once every group is covered.
-func TestATryCopiesOnlyWhatIsMissing(t *testing.T) {
+func TestRetryCopiesOnlyFromMissingSources(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	pool := &dial.Pool{}
--- a/rockbarrow/stores/health_test.go
+++ b/rockbarrow/stores/health_test.go
@@ -17,9 +17,9 @@
 	"rockbarrow.dev/schema/fleetpb"
 )
 
-// TestALostDomainLeavesEachGroupItsQuorum checks that the loss of one failure
+// TestQuorumAfterLossOfFailureDomain checks that the loss of one failure
 // domain, with three of eight stores, leaves each group of five a quorum.
-func TestALostDomainLeavesEachGroupItsQuorum(t *testing.T) {
+func TestQuorumAfterLossOfFailureDomain(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	c := &Client{Watch: &watch.Client{Log: logrus.NewEntry(log)}}
@@ -51,9 +51,9 @@
 	}
 }
 
-// TestAReservationIsGivenUpOnceItsStoresAreOutOfReach guards against waiting for
+// TestReserveAbortsWhenStoresBecomeUnreachable guards against waiting for
 // the deadline when the stores became unreachable during the call.
-func TestAReservationIsGivenUpOnceItsStoresAreOutOfReach(t *testing.T) {
+func TestReserveAbortsWhenStoresBecomeUnreachable(t *testing.T) {
 	var members []*fleetpb.Member
 	for i := range 3 {
 		// These stores accept connections and never answer.
--- a/rockbarrow/stores/hedge_test.go
+++ b/rockbarrow/stores/hedge_test.go
@@ -37,9 +37,9 @@
 	return c, v
 }
 
-// TestAQuorumIsAskedFirst checks that a healthy quorum is called first, local
+// TestInitialQuorum checks that a healthy quorum is called first, local
 // stores before others, and all stores as soon as anything is abnormal.
-func TestAQuorumIsAskedFirst(t *testing.T) {
+func TestInitialQuorum(t *testing.T) {
 	c, v := newFiveStoreClient(t)
 	members, n := c.initialQuorum(v, v.GetMembers())
 	if n != 3 || len(members) != 5 || members[0].GetFailureDomain() != "c" {
@@ -102,9 +102,9 @@
 	return took, asked
 }
 
-// TestTheOthersAreAskedWhenOneIsSlowOrRefuses checks that the remaining stores are
+// TestRemainingStoresAreCalledOnDelayOrFailure checks that the remaining stores are
 // called if one of the quorum is slow or fails, and only then.
-func TestTheOthersAreAskedWhenOneIsSlowOrRefuses(t *testing.T) {
+func TestRemainingStoresAreCalledOnDelayOrFailure(t *testing.T) {
 	tests := []struct {
 		name    string
 		scripts map[int]behavior
--- a/rockbarrow/stores/quorum_test.go
+++ b/rockbarrow/stores/quorum_test.go
@@ -16,9 +16,9 @@
 	"rockbarrow.dev/schema/fleetpb"
 )
 
-// TestAReservationAsksAQuorumFirst checks that a reservation calls further stores
+// TestReserveCallsOnlyAQuorum checks that a reservation calls further stores
 // only if one of the quorum fails, and that settlements reach all stores.
-func TestAReservationAsksAQuorumFirst(t *testing.T) {
+func TestReserveCallsOnlyAQuorum(t *testing.T) {
 	g := newTestCluster(t)
 	g.client.HedgeDelay = time.Hour
 	reserveCalls := func(program string) (n int) {
@@ -53,8 +53,8 @@
 	}
 }
 
-// TestBeforeStoresAreChosenNothingIsReserved guards against a panic when the view has no members yet.
-func TestBeforeStoresAreChosenNothingIsReserved(t *testing.T) {
+// TestReserveWithoutMembers guards against a panic when the view has no members yet.
+func TestReserveWithoutMembers(t *testing.T) {
 	w := &watch.Client{Self: &fleetpb.Member{Instance: "entry"}, Log: discardLogger()}
 	w.Offer(&fleetpb.State{Number: 1, View: &fleetpb.View{Epoch: 1, Copies: 3}})
 	c := &stores.Client{Watch: w, Pool: &dial.Pool{}, TurnCache: &stores.Cache{MaxBytes: 1 << 10}}
@@ -66,7 +66,7 @@
 	}
 }
 
-func TestOneLostStoreCostsNothingTwoAreToldAsUnavailable(t *testing.T) {
+func TestReserveWithStoresDown(t *testing.T) {
 	g := newTestCluster(t)
 	g.noError(g.runTurn(g.client, stores.Turn{ID: "1", Program: "p", MaxTokens: 10}, 5))
 	g.stores[0].stop()
@@ -89,9 +89,9 @@
 	}
 }
 
-// TestAProcessThatStartsReachesStoresOnceTheyAnswer guards against counting stores
+// TestReachableOnlyAfterAnAnswer guards against counting stores
 // as reachable that never answered: a new process may be inside a network partition.
-func TestAProcessThatStartsReachesStoresOnceTheyAnswer(t *testing.T) {
+func TestReachableOnlyAfterAnAnswer(t *testing.T) {
 	g := newTestCluster(t)
 	c := g.newClient()
 	if c.Reachable() {
@@ -115,9 +115,9 @@
 	return ctx
 }
 
-// TestAnIdleInstanceNoticesThatItIsCutOff checks that probes detect a partition
+// TestIdleInstanceDetectsPartition checks that probes detect a partition
 // while the instance makes no calls of its own.
-func TestAnIdleInstanceNoticesThatItIsCutOff(t *testing.T) {
+func TestIdleInstanceDetectsPartition(t *testing.T) {
 	g := newTestCluster(t)
 	c := g.newClient()
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
@@ -140,9 +140,9 @@
 	until(false)
 }
 
-// TestAProcessThatStartsBeforeItsStoresWaitsForThem guards against rejecting turns
+// TestEntryStartsBeforeStores guards against rejecting turns
 // when an entry instance starts before its stores, as after a power failure.
-func TestAProcessThatStartsBeforeItsStoresWaitsForThem(t *testing.T) {
+func TestEntryStartsBeforeStores(t *testing.T) {
 	g := newTestCluster(t)
 	for _, p := range g.stores {
 		p.stop()
--- a/rockbarrow/stores/recovery_test.go
+++ b/rockbarrow/stores/recovery_test.go
@@ -12,7 +12,7 @@
 	"rockbarrow.dev/schema/fleetpb"
 )
 
-func TestAWipedStoreCopiesBeforeItCounts(t *testing.T) {
+func TestWipedStoreCopiesBeforeServing(t *testing.T) {
 	g := newTestCluster(t)
 	g.noError(g.runTurn(g.client, stores.Turn{ID: "1", Program: "p", MaxTokens: 10, Budget: 30}, 10))
 	// The second turn is written to two stores only.
@@ -44,7 +44,7 @@
 	}
 }
 
-func TestAllStoresRestart(t *testing.T) {
+func TestRestartOfAllStores(t *testing.T) {
 	g := newTestCluster(t)
 	g.noError(g.runTurn(g.client, stores.Turn{ID: "1", Program: "p", MaxTokens: 10}, 5))
 	for _, p := range g.stores {
@@ -62,7 +62,7 @@
 	}
 }
 
-func TestACallUnderAnOlderViewIsTriedUnderTheNewOne(t *testing.T) {
+func TestStaleViewIsRejected(t *testing.T) {
 	g := newTestCluster(t)
 	old := g.newClient()
 	g.changeView(func(v *fleetpb.View) { v.Prior = v.GetMembers() })
@@ -74,9 +74,9 @@
 	g.noError(g.runTurn(old, stores.Turn{ID: "2", Program: "p", MaxTokens: 10}, 5))
 }
 
-// TestOneOfTwoStoresIsWiped checks that a deployment of two stores recovers from
+// TestWipedStoreOfTwoRecovers checks that a deployment of two stores recovers from
 // the loss of one disk: the wiped store copies the records from the other one.
-func TestOneOfTwoStoresIsWiped(t *testing.T) {
+func TestWipedStoreOfTwoRecovers(t *testing.T) {
 	g := newTestCluster(t)
 	two := g.state.GetView().GetMembers()[:2]
 	g.changeView(func(v *fleetpb.View) { v.Prior, v.Members = v.GetMembers(), two })
--- a/rockbarrow/stores/sample_test.go
+++ b/rockbarrow/stores/sample_test.go
@@ -28,8 +28,8 @@
 	return &Client{Watch: w}, v
 }
 
-// TestAStartAsksAFewStores guards against each entry instance probing, and staying connected to, all stores.
-func TestAStartAsksAFewStores(t *testing.T) {
+// TestSampleSizeIsBounded guards against each entry instance probing, and staying connected to, all stores.
+func TestSampleSizeIsBounded(t *testing.T) {
 	sampled := map[string]int{}
 	for _, n := range []int{60, 120} {
 		for i := range 40 {
@@ -52,9 +52,9 @@
 	}
 }
 
-// TestAFewStoresTellTheReach checks that the reachability of a failure domain is
+// TestReachabilityFromSample checks that the reachability of a failure domain is
 // derived from its sampled stores.
-func TestAFewStoresTellTheReach(t *testing.T) {
+func TestReachabilityFromSample(t *testing.T) {
 	c, v := newSampleClient("entry", 100)
 	if c.Reachable() {
 		t.Error("Reachable is true although no store has answered")
--- a/rockbarrow/stores/turns_test.go
+++ b/rockbarrow/stores/turns_test.go
@@ -15,7 +15,7 @@
 	"rockbarrow.dev/schema/fleetpb"
 )
 
-func TestHistoryIsTheSameForEveryEntry(t *testing.T) {
+func TestHistoryAcrossEntries(t *testing.T) {
 	g := newTestCluster(t)
 	g.noError(g.runTurn(g.client, stores.Turn{ID: "1", Program: "p", MaxTokens: 10}, 5))
 	g.noError(g.runTurn(g.newClient(), stores.Turn{ID: "2", Program: "p", Previous: "1", MaxTokens: 10}, 5))
@@ -29,10 +29,10 @@
 	}
 }
 
-// TestATurnOfAnotherCustomerIsUnknown checks that a customer can't continue from
+// TestTurnOfAnotherCustomerIsUnknown checks that a customer can't continue from
 // another customer's turn, also if it is cached. A turn without a customer can be
 // continued by anyone who knows its id.
-func TestATurnOfAnotherCustomerIsUnknown(t *testing.T) {
+func TestTurnOfAnotherCustomerIsUnknown(t *testing.T) {
 	g := newTestCluster(t)
 	one, other := g.newClient(), g.newClient()
 	keep := func(id, customer string) {
@@ -56,7 +56,7 @@
 	}
 }
 
-func TestBudgetHoldsOverEntries(t *testing.T) {
+func TestBudgetAcrossEntries(t *testing.T) {
 	g := newTestCluster(t)
 	turn := func(id string) stores.Turn { return stores.Turn{ID: id, Program: "p", MaxTokens: 100, Budget: 250} }
 	g.noError(g.runTurn(g.client, turn("1"), 100))
