--- a/rockbarrow/ledger/statemachine.go
+++ b/rockbarrow/ledger/statemachine.go
@@ -36,18 +36,18 @@
 }
 
 // Apply applies a record and reports whether it changed the state.
-func (b *StateMachine) Apply(now time.Time, r *fleetpb.Record) bool {
+func (m *StateMachine) Apply(now time.Time, r *fleetpb.Record) bool {
 	switch k := r.GetKind().(type) {
 	case *fleetpb.Record_Reservation:
-		return b.applyReservation(now, k.Reservation)
+		return m.applyReservation(now, k.Reservation)
 	case *fleetpb.Record_Turn:
-		return b.applyTurn(now, k.Turn)
+		return m.applyTurn(now, k.Turn)
 	}
 	return false
 }
 
-func (b *StateMachine) applyReservation(now time.Time, r *fleetpb.ProgramReservation) bool {
-	p := b.touchProgram(now, r.GetProgram(), r.GetRetainMs())
+func (m *StateMachine) applyReservation(now time.Time, r *fleetpb.ProgramReservation) bool {
+	p := m.touchProgram(now, r.GetProgram(), r.GetRetainMs())
 	reservation := r.GetReservation()
 	old := p.reservations[reservation.GetTurn()]
 	merged := mergeReservations(old, reservation)
@@ -58,30 +58,30 @@
 	return old == nil || merged != old
 }
 
-func (b *StateMachine) applyTurn(now time.Time, t *fleetpb.Turn) bool {
-	p := b.touchProgram(now, t.GetHome(), t.GetRetainMs())
-	if b.turns[t.GetId()] != nil {
+func (m *StateMachine) applyTurn(now time.Time, t *fleetpb.Turn) bool {
+	p := m.touchProgram(now, t.GetHome(), t.GetRetainMs())
+	if m.turns[t.GetId()] != nil {
 		return false
 	}
-	if b.turns == nil {
-		b.turns = map[string]*fleetpb.Turn{}
+	if m.turns == nil {
+		m.turns = map[string]*fleetpb.Turn{}
 	}
-	b.turns[t.GetId()] = t
+	m.turns[t.GetId()] = t
 	p.turns = append(p.turns, t)
-	b.bytes += turnSize(t)
+	m.bytes += turnSize(t)
 	return true
 }
 
 // touchProgram returns the state of a program, creating it if necessary, and
 // extends its life.
-func (b *StateMachine) touchProgram(now time.Time, name string, retainMS uint64) *programState {
-	p := b.programs[name]
+func (m *StateMachine) touchProgram(now time.Time, name string, retainMS uint64) *programState {
+	p := m.programs[name]
 	if p == nil {
-		if b.programs == nil {
-			b.programs = map[string]*programState{}
+		if m.programs == nil {
+			m.programs = map[string]*programState{}
 		}
 		p = &programState{reservations: map[string]*fleetpb.Reservation{}}
-		b.programs[name] = p
+		m.programs[name] = p
 	}
 	p.retention = max(p.retention, time.Duration(retainMS)*time.Millisecond)
 	p.lastUsed = now
@@ -89,8 +89,8 @@
 }
 
 // Reservations returns the reservations of a program in unspecified order.
-func (b *StateMachine) Reservations(name string) []*fleetpb.Reservation {
-	p := b.programs[name]
+func (m *StateMachine) Reservations(name string) []*fleetpb.Reservation {
+	p := m.programs[name]
 	if p == nil {
 		return nil
 	}
@@ -103,8 +103,8 @@
 
 // LastEndpoint returns the endpoint that served the program's most recently settled
 // turn. Its id is empty if none is known.
-func (b *StateMachine) LastEndpoint(name string) life.Life {
-	p := b.programs[name]
+func (m *StateMachine) LastEndpoint(name string) life.Life {
+	p := m.programs[name]
 	if p == nil {
 		return life.Life{}
 	}
@@ -112,50 +112,50 @@
 }
 
 // Has reports whether the state contains a turn.
-func (b *StateMachine) Has(turn string) bool { return b.turns[turn] != nil }
+func (m *StateMachine) Has(turn string) bool { return m.turns[turn] != nil }
 
 // Chain returns a turn and its predecessors, newest first, up to the first one
 // that is not stored here, and extends the life of the turn's home program.
-func (b *StateMachine) Chain(now time.Time, turn string) []*fleetpb.Turn {
+func (m *StateMachine) Chain(now time.Time, turn string) []*fleetpb.Turn {
 	var out []*fleetpb.Turn
-	for t := b.turns[turn]; t != nil; t = b.turns[t.GetPrevious()] {
+	for t := m.turns[turn]; t != nil; t = m.turns[t.GetPrevious()] {
 		out = append(out, t)
 	}
 	if len(out) > 0 {
-		b.touchProgram(now, out[0].GetHome(), out[0].GetRetainMs())
+		m.touchProgram(now, out[0].GetHome(), out[0].GetRetainMs())
 	}
 	return out
 }
 
 // Expire removes the programs whose retention has ended.
-func (b *StateMachine) Expire(now time.Time) {
-	for name, p := range b.programs {
+func (m *StateMachine) Expire(now time.Time) {
+	for name, p := range m.programs {
 		if now.Sub(p.lastUsed) < retentionFactor*p.retention+retentionMargin {
 			continue
 		}
 		for _, t := range p.turns {
-			delete(b.turns, t.GetId())
-			b.bytes -= turnSize(t)
+			delete(m.turns, t.GetId())
+			m.bytes -= turnSize(t)
 		}
-		delete(b.programs, name)
+		delete(m.programs, name)
 	}
 }
 
 // Size returns the numbers of programs and turns, and the bytes of the turns.
-func (b *StateMachine) Size() (programs, turns int, bytes int64) {
-	return len(b.programs), len(b.turns), b.bytes
+func (m *StateMachine) Size() (programs, turns int, bytes int64) {
+	return len(m.programs), len(m.turns), m.bytes
 }
 
 // Programs calls yield with the name of each program.
-func (b *StateMachine) Programs(yield func(name string)) {
-	for name := range b.programs {
+func (m *StateMachine) Programs(yield func(name string)) {
+	for name := range m.programs {
 		yield(name)
 	}
 }
 
 // Records returns all records of a program.
-func (b *StateMachine) Records(name string) []*fleetpb.Record {
-	p := b.programs[name]
+func (m *StateMachine) Records(name string) []*fleetpb.Record {
+	p := m.programs[name]
 	if p == nil {
 		return nil
 	}
--- a/rockbarrow/stores/client.go
+++ b/rockbarrow/stores/client.go
@@ -159,8 +159,9 @@
 
 // initialQuorum returns the stores of a program, those of the local failure
 // domain first, and how many of them to call initially. That is a quorum if all
-// stores are healthy, and all of them otherwise. Stores that miss the
-// reservation receive it with the settlement, which is sent to all.
+// of them are reachable and no view change is under way, and all of them
+// otherwise. Stores that miss the reservation receive it with the settlement,
+// which is sent to all.
 func (c *Client) initialQuorum(v *fleetpb.View, members []*fleetpb.Member) ([]*fleetpb.Member, int) {
 	if len(members) == 0 || len(v.GetPrior()) > 0 {
 		return members, len(members)
--- a/rockbarrow/stores/cluster_test.go
+++ b/rockbarrow/stores/cluster_test.go
@@ -74,42 +74,42 @@
 }
 
 // start runs the store. Its directory and address stay the same across restarts.
-func (p *testStore) start() {
-	address := p.member.GetAddress()
+func (ts *testStore) start() {
+	address := ts.member.GetAddress()
 	if address == "" {
 		address = "127.0.0.1:0"
 	}
 	l, err := net.Listen("tcp", address)
 	if err != nil {
-		p.t.Fatal(err)
+		ts.t.Fatal(err)
 	}
-	if p.member.GetAddress() == "" {
+	if ts.member.GetAddress() == "" {
 		// Written only once, as clients read it concurrently from now on.
-		p.member.Address = l.Addr().String()
+		ts.member.Address = l.Addr().String()
 	}
-	p.watch = &watch.Client{Self: p.member, Log: discardLogger()}
+	ts.watch = &watch.Client{Self: ts.member, Log: discardLogger()}
 	pool := &dial.Pool{}
-	s := &store.Store{Self: p.member, DataDir: p.dir, Watch: p.watch, Pool: pool, Log: discardLogger(), Metrics: tally.NoopScope}
+	s := &store.Store{Self: ts.member, DataDir: ts.dir, Watch: ts.watch, Pool: pool, Log: discardLogger(), Metrics: tally.NoopScope}
 	closeLog, err := s.Open()
 	if err != nil {
-		p.t.Fatal(err)
+		ts.t.Fatal(err)
 	}
-	p.store = s
-	p.watch.Changed = s.Wake
+	ts.store = s
+	ts.watch.Changed = s.Wake
 	g := dial.Server()
-	fleetpb.RegisterStoreServer(g, &countingStore{Store: s, calls: &p.reserveCalls})
+	fleetpb.RegisterStoreServer(g, &countingStore{Store: s, calls: &ts.reserveCalls})
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
 	running.Go(func() { s.Run(ctx) })
 	running.Go(func() { serveUntilStopped(g, l) })
-	p.stop = sync.OnceFunc(func() {
+	ts.stop = sync.OnceFunc(func() {
 		cancel()
 		g.Stop()
 		running.Wait()
 		closeLog()
 		pool.Close()
 	})
-	p.t.Cleanup(p.stop)
+	ts.t.Cleanup(ts.stop)
 }
 
 func serveUntilStopped(g *grpc.Server, l net.Listener) {
--- a/rockbarrow/stores/health.go
+++ b/rockbarrow/stores/health.go
@@ -14,7 +14,7 @@
 
 const (
 	// unresponsiveAfter is how long a call may stay unanswered before its store
-	// counts as unreachable. It is well above the latency of a call under load.
+	// counts as unreachable. It is well above the usual latency of a call.
 	unresponsiveAfter = 250 * time.Millisecond
 	// probeInterval is the time between probes of an unreachable store,
 	// probeTimeout the time limit of one probe.
@@ -22,9 +22,9 @@
 	probeTimeout  = 300 * time.Millisecond
 )
 
-// health tracks which stores answer. It is updated by calls; only unreachable and
-// unknown stores are probed, so healthy stores get no extra traffic. The zero
-// value is ready to use.
+// health tracks which stores answer. It is updated by calls and probes. Healthy
+// stores are probed only while most voters are silent. The zero value is ready
+// to use.
 type health struct {
 	mu sync.Mutex
 	// unreachable holds the storages that did not answer their last call.
@@ -145,9 +145,9 @@
 	started time.Time
 }
 
-func (s *responseTimeout) run() {
-	if !processStalled(s.started, unresponsiveAfter) {
-		s.client.recordResult(s.member, &noResponseError{})
+func (t *responseTimeout) run() {
+	if !processStalled(t.started, unresponsiveAfter) {
+		t.client.recordResult(t.member, &noResponseError{})
 	}
 }
 
--- a/rockbarrow/stores/quorum.go
+++ b/rockbarrow/stores/quorum.go
@@ -48,17 +48,17 @@
 	defer cancel()
 	timeout := &responseTimeout{client: c.client, member: c.member, started: time.Now()}
 	timer := time.AfterFunc(unresponsiveAfter, timeout.run)
-	a := response[R]{member: c.member}
+	r := response[R]{member: c.member}
 	conn, err := c.client.Pool.Get(c.member.GetAddress())
 	if err == nil {
-		a.reply, a.status, err = c.call(ctx, fleetpb.NewStoreClient(conn), c.member)
+		r.reply, r.status, err = c.call(ctx, fleetpb.NewStoreClient(conn), c.member)
 	}
 	timer.Stop()
 	if err == nil || !processStalled(timeout.started, callTimeout) {
 		c.client.recordResult(c.member, err)
 	}
-	a.err = err
-	c.results <- a
+	r.err = err
+	c.results <- r
 }
 
 // callOutcome is the result of one attempt to reach a quorum.
@@ -85,11 +85,11 @@
 }
 
 // send calls the next n members that were not called yet.
-func (a *quorumCall[R]) send(ctx context.Context, n int) {
-	for _, m := range a.unsent[:n] {
-		go (&storeCall[R]{client: a.client, member: m, call: a.call, results: a.responses}).run(ctx)
+func (q *quorumCall[R]) send(ctx context.Context, n int) {
+	for _, m := range q.unsent[:n] {
+		go (&storeCall[R]{client: q.client, member: m, call: q.call, results: q.responses}).run(ctx)
 	}
-	a.unsent, a.sent = a.unsent[n:], a.sent+n
+	q.unsent, q.sent = q.unsent[n:], q.sent+n
 }
 
 // callQuorum calls the members of a tracker until done reports true. It calls the
@@ -103,8 +103,8 @@
 	call func(context.Context, fleetpb.StoreClient, *fleetpb.Member) (R, *fleetpb.StoreStatus, error),
 	onReply func(R),
 ) (callOutcome, string) {
-	a := &quorumCall[R]{client: c, call: call, responses: make(chan response[R], len(members)), unsent: members}
-	a.send(ctx, first)
+	q := &quorumCall[R]{client: c, call: call, responses: make(chan response[R], len(members)), unsent: members}
+	q.send(ctx, first)
 	hedge := time.NewTimer(cmp.Or(c.HedgeDelay, defaultHedgeDelay))
 	defer hedge.Stop()
 	reason := "no store answered"
@@ -115,17 +115,17 @@
 		}
 		select {
 		case <-change:
-			a.send(ctx, len(a.unsent))
+			q.send(ctx, len(q.unsent))
 			continue
 		case <-hedge.C:
-			a.send(ctx, len(a.unsent))
+			q.send(ctx, len(q.unsent))
 			continue
-		case got := <-a.responses:
+		case got := <-q.responses:
 			received++
 			if refusal := refusalReason(got.status, got.err); refusal != "" {
 				t.Refuse(got.member.GetStorage())
 				reason = got.member.GetInstance() + ": " + refusal
-				a.send(ctx, len(a.unsent))
+				q.send(ctx, len(q.unsent))
 				continue
 			}
 			t.Ack(got.member.GetStorage(), got.status.GetWholeEpoch())
@@ -139,8 +139,8 @@
 		if t.QuorumLost() {
 			return quorumFailed, reason
 		}
-		if received == a.sent {
-			a.send(ctx, len(a.unsent))
+		if received == q.sent {
+			q.send(ctx, len(q.unsent))
 		}
 	}
 	return quorumFailed, reason
