--- a/rockbarrow/daemon/daemon.go
+++ b/rockbarrow/daemon/daemon.go
@@ -138,8 +138,8 @@
 	quick := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4, IdleConnTimeout: time.Minute}}
 	out = append(out, (&engine.Watcher{HTTP: quick, Desk: d.desk, Every: watchEvery, Near: d.Settings.Domain, Log: d.Log}).Run)
 	if p := d.Settings.Platform; p.ListURL != "" {
-		out = append(out, (&endpointlist.Watcher{
-			HTTP: quick, URL: p.ListURL, Every: settings.Milliseconds(p.PollMS), Roster: d.node, Desk: d.desk, Log: d.Log,
+		out = append(out, (&endpointlist.Poller{
+			HTTP: quick, URL: p.ListURL, Interval: settings.Milliseconds(p.PollMS), Roster: d.node, Desk: d.desk, Log: d.Log,
 		}).Run)
 	}
 	return out
--- a/rockbarrow/endpointlist/list.go
+++ b/rockbarrow/endpointlist/list.go
@@ -26,12 +26,12 @@
 
 // List is the platform's list.
 type List struct {
-	Instances []Item `json:"instances"`
-	Endpoints []Item `json:"endpoints"`
+	Instances []Entry `json:"instances"`
+	Endpoints []Entry `json:"endpoints"`
 }
 
-// Item is one line of the list; State is "live", "leaving" or "gone".
-type Item struct {
+// Entry is one line of the list; State is "live", "leaving" or "gone".
+type Entry struct {
 	Name  string `json:"name"`
 	State string `json:"state"`
 }
@@ -41,21 +41,21 @@
 	Listed(l roster.Listed)
 }
 
-// Watcher polls the list. Set the exported fields before Run.
-type Watcher struct {
-	HTTP   *http.Client
-	URL    string
-	Every  time.Duration
-	Roster Roster
-	Desk   *dispatch.Dispatcher
-	Log    *logrus.Entry
+// Poller polls the list. Set the exported fields before Run.
+type Poller struct {
+	HTTP     *http.Client
+	URL      string
+	Interval time.Duration
+	Roster   Roster
+	Desk     *dispatch.Dispatcher
+	Log      *logrus.Entry
 }
 
 // Run polls until ctx ends.
-func (w *Watcher) Run(ctx context.Context) { w.loop(ctx) }
+func (w *Poller) Run(ctx context.Context) { w.loop(ctx) }
 
-func (w *Watcher) loop(ctx context.Context) {
-	t := time.NewTicker(w.Every)
+func (w *Poller) loop(ctx context.Context) {
+	t := time.NewTicker(w.Interval)
 	defer t.Stop()
 	for {
 		select {
@@ -72,7 +72,7 @@
 	}
 }
 
-func (w *Watcher) read(ctx context.Context) (*List, error) {
+func (w *Poller) read(ctx context.Context) (*List, error) {
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, w.URL, nil)
@@ -101,7 +101,7 @@
 
 // tell passes the word on. An endpoint that is listed as leaving takes nothing
 // new from now on; only its next life clears that, so the list never does.
-func (w *Watcher) tell(l *List) {
+func (w *Poller) tell(l *List) {
 	var listed roster.Listed
 	for _, i := range l.Instances {
 		switch i.State {
