--- a/rockbarrow/routing/build.go
+++ b/rockbarrow/routing/build.go
@@ -185,5 +185,5 @@
 
 func marshal(m proto.Message) ([]byte, error) {
 	b, err := proto.MarshalOptions{Deterministic: true}.Marshal(m)
-	return b, errors.Wrap(err, "routing: encode")
+	return b, errors.Wrap(err, "routing")
 }
