--- a/rockbarrow/document/cache.go
+++ b/rockbarrow/document/cache.go
@@ -14,59 +14,59 @@
 )
 
 const (
-	// kept is how many documents a cache keeps by default, and tells of: the one in
-	// force and the one accepted or met before it. Senders keep more, for receivers
+	// defaultCapacity is how many documents a cache keeps by default and reports in
+	// Held: the one in force and its predecessor. Senders keep more, for receivers
 	// that lag.
-	kept = 2
-	// keptDifferences is how many differences a cache keeps. All receivers that hold
-	// the same document want the same one, within one round trip.
-	keptDifferences = 8
+	defaultCapacity = 2
+	// maxDifferences is how many differences a cache keeps. Receivers that hold the
+	// same document request the same difference at about the same time.
+	maxDifferences = 8
 )
 
-// BaseError says that a document can't be made whole, because its base is not held.
+// BaseError is returned if a document cannot be decoded because its base is not held.
 type BaseError struct{ base, document []byte }
 
-// Error names the two documents.
+// Error names both documents.
 func (e *BaseError) Error() string {
-	return "document: " + short(e.document) + " needs " + short(e.base) + ", which is not held"
+	return "document: base " + shortDigest(e.base) + " of " + shortDigest(e.document) + " is not held"
 }
 
-// DigestError says that a document is not the one that was named.
+// DigestError is returned if a document's digest does not match.
 type DigestError struct{ want, got []byte }
 
-// Error names the two documents.
+// Error names both documents.
 func (e *DigestError) Error() string {
-	return "document: " + short(e.got) + " came where " + short(e.want) + " was named"
+	return "document: digest is " + shortDigest(e.got) + ", want " + shortDigest(e.want)
 }
 
-func short(digest []byte) string {
+func shortDigest(digest []byte) string {
 	if len(digest) == 0 {
 		return "none"
 	}
 	return hex.EncodeToString(digest[:min(4, len(digest))])
 }
 
-// Cache is the documents that a process has met lately. The zero value is ready and
-// keeps two. It is safe for concurrent use.
+// Cache holds the documents that a process has used recently. The zero value is
+// ready for use. It is safe for concurrent use.
 type Cache struct {
-	// Capacity is how many documents it keeps; zero means two.
+	// Capacity is the number of documents to keep; zero means two.
 	Capacity int
-	// Log is told of differences that can't be made; nil is nobody.
+	// Log receives failures to compute a difference; may be nil.
 	Log *logrus.Entry
 
 	mu sync.Mutex
-	// documents are whole, the newest last.
-	documents []named
-	// differences were made lately, the newest last.
-	differences []made
+	// documents are ordered from oldest to newest.
+	documents []entry
+	// differences are cached encodings, ordered from oldest to newest.
+	differences []diffEntry
 }
 
-type named struct{ digest, document []byte }
+type entry struct{ digest, document []byte }
 
-type made struct{ base, digest, frame []byte }
+type diffEntry struct{ base, digest, frame []byte }
 
-// AddState keeps the document of a state, which may be nil. To a state of version 0.2.0, which
-// has no digest, it gives one; no one else may have such a state yet.
+// AddState adds the document of a state, which may be nil. It sets the digest if it
+// is missing, as in states of version 0.2.0; such a state must not be shared yet.
 func (c *Cache) AddState(st *fleetpb.State) {
 	cfg := st.GetConfiguration()
 	if len(cfg.GetDocument()) == 0 {
@@ -78,72 +78,72 @@
 	c.Put(cfg.GetDocument(), cfg.GetDigest())
 }
 
-// Put keeps a document.
+// Put adds a document, or marks it as the newest.
 func (c *Cache) Put(document, digest []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if i := c.index(digest); i >= 0 {
+	if i := c.indexOf(digest); i >= 0 {
 		n := c.documents[i]
 		c.documents = append(slices.Delete(c.documents, i, i+1), n)
 		return
 	}
-	c.documents = append(c.documents, named{digest: digest, document: document})
-	keep := c.Capacity
-	if keep == 0 {
-		keep = kept
+	c.documents = append(c.documents, entry{digest: digest, document: document})
+	capacity := c.Capacity
+	if capacity == 0 {
+		capacity = defaultCapacity
 	}
-	if len(c.documents) > keep {
+	if len(c.documents) > capacity {
 		c.documents = slices.Delete(c.documents, 0, 1)
 	}
 }
 
-func (c *Cache) index(digest []byte) int {
-	return slices.IndexFunc(c.documents, func(n named) bool { return bytes.Equal(n.digest, digest) })
+func (c *Cache) indexOf(digest []byte) int {
+	return slices.IndexFunc(c.documents, func(n entry) bool { return bytes.Equal(n.digest, digest) })
 }
 
-// Held tells a sender what this cache holds.
+// Held returns the digests that a sender needs to choose a base.
 func (c *Cache) Held() *fleetpb.Held {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	h := &fleetpb.Held{}
-	for _, n := range c.documents[max(0, len(c.documents)-kept):] {
+	for _, n := range c.documents[max(0, len(c.documents)-defaultCapacity):] {
 		h.Digests = append(h.Digests, n.digest)
 	}
 	return h
 }
 
-// Pack returns a document as a receiver needs it that has told what it holds: nil if it
-// understands whole documents only.
+// Pack encodes a document for a receiver that holds the given documents. A nil held
+// means that the receiver supports whole documents only.
 func (c *Cache) Pack(document, digest []byte, held *fleetpb.Held) *fleetpb.Packed {
 	whole := &fleetpb.Packed{Document: document, Digest: digest}
 	if held == nil || len(document) == 0 || len(digest) == 0 {
 		return whole
 	}
-	if holds(held, digest) {
+	if holdsDigest(held, digest) {
 		return &fleetpb.Packed{Digest: digest}
 	}
-	base, frame, err := c.frame(document, digest, held)
+	base, frame, err := c.differenceFor(document, digest, held)
 	if err != nil {
 		if c.Log != nil {
-			c.Log.WithError(err).Warn("a document is sent whole")
+			c.Log.WithError(err).Warn("computing a difference failed, sending the whole document")
 		}
 		return whole
 	}
 	return &fleetpb.Packed{Digest: digest, Base: base, Difference: frame}
 }
 
-func holds(h *fleetpb.Held, digest []byte) bool {
+func holdsDigest(h *fleetpb.Held, digest []byte) bool {
 	return slices.ContainsFunc(h.GetDigests(), func(d []byte) bool { return bytes.Equal(d, digest) })
 }
 
-// frame returns a difference against a document that is held on both sides, the newest
-// first, or against nothing.
-func (c *Cache) frame(document, digest []byte, held *fleetpb.Held) (base, frame []byte, err error) {
+// differenceFor returns a difference against the newest document that both sides
+// hold, or against nothing.
+func (c *Cache) differenceFor(document, digest []byte, held *fleetpb.Held) (base, frame []byte, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var common named
+	var common entry
 	for _, n := range slices.Backward(c.documents) {
-		if holds(held, n.digest) {
+		if holdsDigest(held, n.digest) {
 			common = n
 			break
 		}
@@ -153,21 +153,21 @@
 			return m.base, m.frame, nil
 		}
 	}
-	frame, err = difference(common.document, document)
+	frame, err = compressWithBase(common.document, document)
 	if err != nil {
 		return nil, nil, err
 	}
-	c.differences = append(c.differences, made{base: common.digest, digest: digest, frame: frame})
-	if len(c.differences) > keptDifferences {
+	c.differences = append(c.differences, diffEntry{base: common.digest, digest: digest, frame: frame})
+	if len(c.differences) > maxDifferences {
 		c.differences = slices.Delete(c.differences, 0, 1)
 	}
 	return common.digest, frame, nil
 }
 
-// Unpack makes a document whole and keeps it. After an error the sender has to be asked
-// for it whole.
+// Unpack decodes a document and adds it. After an error the whole document must be
+// requested from the sender.
 func (c *Cache) Unpack(p *fleetpb.Packed) ([]byte, error) {
-	document, err := c.whole(p)
+	document, err := c.resolve(p)
 	if err != nil {
 		return nil, err
 	}
@@ -179,14 +179,14 @@
 	return document, nil
 }
 
-func (c *Cache) whole(p *fleetpb.Packed) ([]byte, error) {
+func (c *Cache) resolve(p *fleetpb.Packed) ([]byte, error) {
 	if len(p.GetDocument()) > 0 {
 		return p.GetDocument(), nil
 	}
 	if len(p.GetDigest()) == 0 {
 		return nil, &BaseError{}
 	}
-	// It may have come from elsewhere since the sender was told what is held.
+	// The document may have arrived from another sender in the meantime.
 	if d, ok := c.get(p.GetDigest()); ok {
 		return d, nil
 	}
@@ -197,17 +197,17 @@
 	if !ok {
 		return nil, &BaseError{base: p.GetBase(), document: p.GetDigest()}
 	}
-	return unfold(base, p.GetDifference())
+	return decompressWithBase(base, p.GetDifference())
 }
 
-// get returns a document that is held; no digest names the empty one.
+// get returns a held document; an empty digest stands for the empty document.
 func (c *Cache) get(digest []byte) ([]byte, bool) {
 	if len(digest) == 0 {
 		return nil, true
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if i := c.index(digest); i >= 0 {
+	if i := c.indexOf(digest); i >= 0 {
 		return c.documents[i].document, true
 	}
 	return nil, false
--- a/rockbarrow/document/cache_test.go
+++ b/rockbarrow/document/cache_test.go
@@ -14,9 +14,8 @@
 	"rockbarrow.dev/schema/fleetpb"
 )
 
-// routes is a document of so many routes, as operators write them: each has names and
-// numbers of its own.
-func routes(version uint64, n int) *fleetpb.State {
+// newState returns a state whose document has n routes with distinct names.
+func newState(version uint64, n int) *fleetpb.State {
 	var b strings.Builder
 	fmt.Fprintf(&b, `{"version":%d,"routes":[`, version)
 	for i := range n {
@@ -30,8 +29,8 @@
 	}
 }
 
-// received is a state as it comes out of a message.
-func received(t *testing.T, st *fleetpb.State) *fleetpb.State {
+// roundTrip encodes and decodes a state.
+func roundTrip(t *testing.T, st *fleetpb.State) *fleetpb.State {
 	t.Helper()
 	b, err := proto.Marshal(st)
 	if err != nil {
@@ -44,28 +43,28 @@
 	return out
 }
 
-// TestAChangeTravelsAsItsDifference: an operator adds routes one after another to a
-// thousand others; what is sent grows with the change and not with the document.
+// TestAChangeTravelsAsItsDifference guards against messages that grow with the
+// document instead of the change.
 func TestAChangeTravelsAsItsDifference(t *testing.T) {
 	const n = 1000
 	sender, receiver := &Cache{Capacity: 8}, &Cache{}
-	before := routes(1, n)
+	before := newState(1, n)
 	sender.AddState(before)
-	whole, err := receiver.UnpackState(received(t, before))
+	whole, err := receiver.UnpackState(roundTrip(t, before))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if !proto.Equal(whole, before) {
-		t.Fatal("a state that was sent whole has changed")
+		t.Fatal("a state that was sent whole differs")
 	}
 	for v := uint64(2); v < 6; v++ {
-		next := routes(v, n+int(v))
+		next := newState(v, n+int(v))
 		sender.AddState(next)
 		message := sender.PackState(next, receiver.Held())
 		if size := proto.Size(message); size > 1000 {
-			t.Errorf("%d bytes were sent for one route of a document of %d", size, len(next.GetConfiguration().GetDocument()))
+			t.Errorf("%d bytes were sent for one route of a document of %d bytes", size, len(next.GetConfiguration().GetDocument()))
 		}
-		got, err := receiver.UnpackState(received(t, message))
+		got, err := receiver.UnpackState(roundTrip(t, message))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -75,64 +74,64 @@
 	}
 }
 
-// TestADocumentThatIsHeldIsLeftOut: a change of the view sends no routes.
-func TestADocumentThatIsHeldIsLeftOut(t *testing.T) {
+// TestHeldDocumentIsOmitted guards against sending a document that the receiver holds.
+func TestHeldDocumentIsOmitted(t *testing.T) {
 	sender, receiver := &Cache{}, &Cache{}
-	st := routes(1, 100)
+	st := newState(1, 100)
 	sender.AddState(st)
-	if _, err := receiver.UnpackState(received(t, st)); err != nil {
+	if _, err := receiver.UnpackState(roundTrip(t, st)); err != nil {
 		t.Fatal(err)
 	}
 	moved := proto.Clone(st).(*fleetpb.State)
 	moved.Number, moved.View.Epoch = 2, 4
 	message := sender.PackState(moved, receiver.Held())
 	if len(message.GetConfiguration().GetDocument())+len(message.GetConfiguration().GetDifference()) > 0 {
-		t.Error("a document was sent that the receiver holds")
+		t.Error("a held document was sent")
 	}
-	got, err := receiver.UnpackState(received(t, message))
+	got, err := receiver.UnpackState(roundTrip(t, message))
 	if err != nil || !proto.Equal(got, moved) {
 		t.Errorf("%v, %v", got, err)
 	}
 }
 
-// TestWhoTellsNothingGetsTheWhole: a process of version 0.2.0 tells nothing.
+// TestWhoTellsNothingGetsTheWhole covers receivers and senders of version 0.2.0.
 func TestWhoTellsNothingGetsTheWhole(t *testing.T) {
 	s := &Cache{}
-	st := routes(1, 10)
+	st := newState(1, 10)
 	s.AddState(st)
 	if s.PackState(st, nil) != st {
-		t.Error("a state was packed for a receiver that can't read it")
+		t.Error("a state was packed for a receiver that does not support it")
 	}
-	old := routes(2, 10)
+	old := newState(2, 10)
 	old.Configuration.Digest = nil
-	got, err := s.UnpackState(received(t, old))
+	got, err := s.UnpackState(roundTrip(t, old))
 	if err != nil || !bytes.Equal(got.GetConfiguration().GetDigest(), Digest(old.GetConfiguration().GetDocument())) {
 		t.Errorf("a state without a digest: %v", err)
 	}
 }
 
-// TestWhoHoldsNothingGetsItCompressed: a process that has just started.
-func TestWhoHoldsNothingGetsItCompressed(t *testing.T) {
+// TestDocumentWithoutBaseIsCompressed covers a receiver that has just started.
+func TestDocumentWithoutBaseIsCompressed(t *testing.T) {
 	sender, receiver := &Cache{}, &Cache{}
-	st := routes(1, 1000)
+	st := newState(1, 1000)
 	sender.AddState(st)
 	message := sender.PackState(st, receiver.Held())
 	if proto.Size(message) > len(st.GetConfiguration().GetDocument())/3 {
 		t.Error("the document was not compressed")
 	}
-	if got, err := receiver.UnpackState(received(t, message)); err != nil || !proto.Equal(got, st) {
+	if got, err := receiver.UnpackState(roundTrip(t, message)); err != nil || !proto.Equal(got, st) {
 		t.Errorf("another state came out: %v", err)
 	}
 }
 
 func TestAnUnreadableDocumentIsNoticed(t *testing.T) {
 	sender := &Cache{Capacity: 8}
-	one, two, three := routes(1, 50), routes(2, 51), routes(3, 52)
+	one, two, three := newState(1, 50), newState(2, 51), newState(3, 52)
 	for _, st := range []*fleetpb.State{one, two, three} {
 		sender.AddState(st)
 	}
 	at := func(held *fleetpb.State) *fleetpb.State {
-		return received(t, sender.PackState(three, &fleetpb.Held{Digests: [][]byte{held.GetConfiguration().GetDigest()}}))
+		return roundTrip(t, sender.PackState(three, &fleetpb.Held{Digests: [][]byte{held.GetConfiguration().GetDigest()}}))
 	}
 	receiver := &Cache{}
 	receiver.AddState(one)
@@ -144,7 +143,7 @@
 			t.Errorf("%v, want a BaseError", err)
 		}
 	})
-	t.Run("it was left out and is not held", func(t *testing.T) {
+	t.Run("it was omitted and is not held", func(t *testing.T) {
 		_, err := receiver.UnpackState(at(three))
 		var base *BaseError
 		if !errors.As(err, &base) {
@@ -158,7 +157,7 @@
 			t.Errorf("taken: %v", got)
 		}
 	})
-	t.Run("the difference is cut short", func(t *testing.T) {
+	t.Run("the difference is truncated", func(t *testing.T) {
 		m := at(one)
 		d := m.GetConfiguration().GetDifference()
 		m.Configuration.Difference = d[:len(d)-1]
@@ -167,7 +166,7 @@
 		}
 	})
 	t.Run("the whole is another document", func(t *testing.T) {
-		m := received(t, three)
+		m := roundTrip(t, three)
 		m.Configuration.Document = m.Configuration.Document[1:]
 		_, err := receiver.UnpackState(m)
 		var digest *DigestError
@@ -176,34 +175,34 @@
 		}
 	})
 	if got := receiver.Held().GetDigests(); len(got) != 1 || !bytes.Equal(got[0], one.GetConfiguration().GetDigest()) {
-		t.Error("something of an unreadable state was kept")
+		t.Error("part of an invalid state was kept")
 	}
 }
 
-// TestTwoSendersTellTheSame: two control instances answer with differences against a
-// base that the first answer has replaced.
-func TestTwoSendersTellTheSame(t *testing.T) {
+// TestDuplicateDifferenceIsAccepted guards against a failure when a second sender
+// uses a base that the first answer has evicted.
+func TestDuplicateDifferenceIsAccepted(t *testing.T) {
 	sender, receiver := &Cache{Capacity: 8}, &Cache{Capacity: 1}
-	one, two := routes(1, 50), routes(2, 51)
+	one, two := newState(1, 50), newState(2, 51)
 	sender.AddState(one)
 	sender.AddState(two)
 	receiver.AddState(one)
 	m := sender.PackState(two, receiver.Held())
 	for range 2 {
-		if got, err := receiver.UnpackState(received(t, m)); err != nil || !proto.Equal(got, two) {
+		if got, err := receiver.UnpackState(roundTrip(t, m)); err != nil || !proto.Equal(got, two) {
 			t.Errorf("another state came out: %v", err)
 		}
 	}
 }
 
-// TestAListTravelsAsItsDifference: of three thousand endpoints one begins to drain.
+// TestAListTravelsAsItsDifference guards against messages that grow with the list.
 func TestAListTravelsAsItsDifference(t *testing.T) {
 	l := &fleetpb.EndpointList{Number: 1}
 	for i := range 3000 {
 		l.Endpoints = append(l.Endpoints, &fleetpb.Endpoint{Id: fmt.Sprintf("i-%x", i*1299709), Service: "s", Address: fmt.Sprintf("10.1.%d.%d:80", i/250, i%250), Slots: 6})
 	}
 	sender, receiver := &Cache{Capacity: 8}, &Cache{}
-	tell := func(l *fleetpb.EndpointList) int {
+	send := func(l *fleetpb.EndpointList) int {
 		t.Helper()
 		made, err := NewList(l)
 		if err != nil {
@@ -216,20 +215,20 @@
 		}
 		return proto.Size(packed)
 	}
-	first := tell(l)
+	first := send(l)
 	next := proto.Clone(l).(*fleetpb.EndpointList)
 	next.Number, next.Endpoints[1500].Draining = 2, true
-	if second := tell(next); second > 1000 || second*20 > first {
-		t.Errorf("%d bytes for one endpoint, %d for the first list", second, first)
+	if second := send(next); second > 1000 || second*20 > first {
+		t.Errorf("%d bytes for one endpoint, %d for the whole list", second, first)
 	}
 	if _, err := receiver.UnpackList(&fleetpb.Packed{Difference: []byte("x")}); err == nil {
-		t.Error("a list without a digest was taken")
+		t.Error("a list without a digest was accepted")
 	}
 }
 
 func FuzzUnpack(f *testing.F) {
-	base, next := routes(1, 20), routes(2, 21)
-	frame, err := difference(base.GetConfiguration().GetDocument(), next.GetConfiguration().GetDocument())
+	base, next := newState(1, 20), newState(2, 21)
+	frame, err := compressWithBase(base.GetConfiguration().GetDocument(), next.GetConfiguration().GetDocument())
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -245,15 +244,14 @@
 		}
 		c := got.GetConfiguration()
 		if len(c.GetDigest()) > 0 && !bytes.Equal(Digest(c.GetDocument()), c.GetDigest()) {
-			t.Error("a document was taken that has another digest")
+			t.Error("a document with another digest was accepted")
 		}
 	})
 }
 
-// BenchmarkPack is a sender's work for each new version of a thousand routes, whatever
-// the number of receivers.
+// BenchmarkPack measures encoding a new version of a thousand routes.
 func BenchmarkPack(b *testing.B) {
-	before, next := routes(1, 1000), routes(2, 1001)
+	before, next := newState(1, 1000), newState(2, 1001)
 	b.ReportAllocs()
 	for b.Loop() {
 		s := &Cache{}
@@ -262,9 +260,9 @@
 	}
 }
 
-// BenchmarkUnpack is a receiver's.
+// BenchmarkUnpack measures decoding it.
 func BenchmarkUnpack(b *testing.B) {
-	before, next := routes(1, 1000), routes(2, 1001)
+	before, next := newState(1, 1000), newState(2, 1001)
 	sender := &Cache{}
 	sender.AddState(before)
 	packed := sender.PackState(next, sender.Held())
--- a/rockbarrow/document/doc.go
+++ b/rockbarrow/document/doc.go
@@ -1,20 +1,19 @@
 // SPDX-License-Identifier: MIT
 
-// Package document sends documents between processes as differences: configurations as
-// operators wrote them ([Cache.PackState]) and lists of endpoints ([Cache.PackList]).
+// Package document encodes documents as differences for transfer between processes:
+// configurations as operators wrote them ([Cache.PackState]) and lists of endpoints
+// ([Cache.PackList]).
 //
-// A configuration of a thousand routes is some 250 KB, as is a list of three thousand
-// endpoints, and most of their successors differ in one line. Control instances hold the
-// configuration's document in force, and all but stores hold that of the list, so what has to
-// travel is what changed. Documents are named by their digest: a receiver tells which it holds
-// ([Cache.Held]), the sender leaves out a document that is held, makes a difference
-// against one that is held, or sends it whole ([Cache.Pack]), and the receiver makes it
-// whole again and checks its digest ([Cache.Unpack]). A receiver that tells nothing, such
-// as a process of version 0.2.0, gets every document whole.
+// Documents are large, and successive versions differ little. They are identified by
+// their digests. A receiver reports which documents it holds ([Cache.Held]). The
+// sender omits a document that the receiver holds, sends a difference against a
+// common base, or sends it whole ([Cache.Pack]). The receiver decodes the document
+// and verifies its digest ([Cache.Unpack]). A receiver that reports nothing, such as
+// a process of version 0.2.0, gets every document whole.
 //
-// The invariant: a [fleetpb.State] of a control instance, in memory or on a disk, holds its
-// document whole, with its digest. Only messages hold anything else, and nothing of a
-// message that can't be made whole is taken over. Entry and store instances have states
-// without a document ([WithoutDocument]); what entry instances need of it comes as a
-// routing table (package routing).
+// In memory and on disk, a [fleetpb.State] of a control instance always contains its
+// whole document and digest. Only messages contain differences, and a state that
+// cannot be decoded is discarded. States of entry and store instances contain no
+// document ([WithoutDocument]); entry instances receive a routing table instead
+// (package routing).
 package document
--- a/rockbarrow/document/list.go
+++ b/rockbarrow/document/list.go
@@ -9,13 +9,13 @@
 	"rockbarrow.dev/schema/fleetpb"
 )
 
-// List is a list of endpoints with its document. It does not change.
+// List is an immutable list of endpoints with its encoding.
 type List struct {
 	list             *fleetpb.EndpointList
 	document, digest []byte
 }
 
-// NewList makes the document of a list.
+// NewList encodes a list.
 func NewList(l *fleetpb.EndpointList) (*List, error) {
 	b, err := proto.MarshalOptions{Deterministic: true}.Marshal(l)
 	if err != nil {
@@ -24,7 +24,7 @@
 	return &List{list: l, document: b, digest: Digest(b)}, nil
 }
 
-// List returns the list, or nil.
+// List returns the list, or nil if l is nil.
 func (l *List) List() *fleetpb.EndpointList {
 	if l == nil {
 		return nil
@@ -32,13 +32,13 @@
 	return l.list
 }
 
-// PackList keeps a list and returns it as a receiver needs it.
+// PackList adds a list and encodes it for a receiver that holds the given documents.
 func (c *Cache) PackList(l *List, held *fleetpb.Held) *fleetpb.Packed {
 	c.Put(l.document, l.digest)
 	return c.Pack(l.document, l.digest, held)
 }
 
-// UnpackList makes a list of a message whole and keeps its document.
+// UnpackList decodes a list and adds its document.
 func (c *Cache) UnpackList(p *fleetpb.Packed) (*fleetpb.EndpointList, error) {
 	b, err := c.Unpack(p)
 	if err != nil {
--- a/rockbarrow/document/state.go
+++ b/rockbarrow/document/state.go
@@ -4,8 +4,8 @@
 
 import "rockbarrow.dev/schema/fleetpb"
 
-// PackState returns a state as a receiver needs it that has told what it holds. The state
-// itself stays as it is.
+// PackState encodes a state for a receiver that holds the given documents. It does
+// not modify st.
 func (c *Cache) PackState(st *fleetpb.State, held *fleetpb.Held) *fleetpb.State {
 	cfg := st.GetConfiguration()
 	p := c.Pack(cfg.GetDocument(), cfg.GetDigest(), held)
@@ -17,8 +17,8 @@
 	})
 }
 
-// WithoutDocument returns a state for who has no use for the configuration's document:
-// only its version is left. The state itself stays as it is.
+// WithoutDocument returns a state whose configuration has only its version. It does
+// not modify st.
 func WithoutDocument(st *fleetpb.State) *fleetpb.State {
 	if st.GetConfiguration() == nil {
 		return st
@@ -33,12 +33,12 @@
 	}
 }
 
-// UnpackState makes the state of a message whole and keeps its document. After an error
-// nothing of the state may be used; the sender has to be asked for it whole.
+// UnpackState decodes a received state in place and adds its document. After an error
+// the state must not be used, and the whole state must be requested from the sender.
 func (c *Cache) UnpackState(st *fleetpb.State) (*fleetpb.State, error) {
 	cfg := st.GetConfiguration()
 	if len(cfg.GetDocument())+len(cfg.GetDigest()) == 0 {
-		// No configuration was accepted yet, or its document was not asked for.
+		// There is no configuration yet, or its document was not requested.
 		return st, nil
 	}
 	d, err := c.Unpack(&fleetpb.Packed{
