--- a/rockbarrow/dial/dial_test.go
+++ b/rockbarrow/dial/dial_test.go
@@ -8,8 +8,8 @@
 	"github.com/pkg/errors"
 )
 
-// TestAClosedPoolMakesNoConnection: a settlement in the background asked for one after its
-// process had stopped, and nobody closed it.
+// TestAClosedPoolMakesNoConnection guards against a connection that leaks because
+// background work requests it after Close.
 func TestAClosedPoolMakesNoConnection(t *testing.T) {
 	p := &Pool{}
 	p.Close()
--- a/rockbarrow/dial/silence_test.go
+++ b/rockbarrow/dial/silence_test.go
@@ -15,33 +15,32 @@
 	"google.golang.org/grpc/health/grpc_health_v1"
 )
 
-// swallower is a proxy that passes bytes on until it is told to swallow those of the
-// connections that are open then. It goes on to acknowledge them, and new connections
-// work.
-type swallower struct {
+// stallingProxy is a proxy that can stall its open connections: it acknowledges
+// their data but drops it. New connections work.
+type stallingProxy struct {
 	net.Listener
-	to string
-	// generation counts how often it was told to swallow.
+	backend string
+	// generation is incremented to stall the open connections.
 	generation atomic.Int64
 }
 
-func (s *swallower) loop() {
+func (s *stallingProxy) serve() {
 	for {
 		c, err := s.Accept()
 		if err != nil {
 			return
 		}
-		out, err := net.Dial("tcp", s.to)
+		out, err := net.Dial("tcp", s.backend)
 		if err != nil {
 			c.Close()
 			continue
 		}
-		go s.pass(out, c, s.generation.Load())
-		go s.pass(c, out, s.generation.Load())
+		go s.forward(out, c, s.generation.Load())
+		go s.forward(c, out, s.generation.Load())
 	}
 }
 
-func (s *swallower) pass(to, from net.Conn, generation int64) {
+func (s *stallingProxy) forward(to, from net.Conn, generation int64) {
 	defer to.Close()
 	buf := make([]byte, 4096)
 	for {
@@ -59,8 +58,7 @@
 	}
 }
 
-// TestASilentConnectionIsReplaced: one call is lost with the connection, the next one
-// is answered over a new one.
+// TestASilentConnectionIsReplaced guards against calls that keep using a stalled connection.
 func TestASilentConnectionIsReplaced(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -74,9 +72,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &swallower{Listener: front, to: l.Addr().String()}
+	s := &stallingProxy{Listener: front, backend: l.Addr().String()}
 	t.Cleanup(func() { s.Close() })
-	go s.loop()
+	go s.serve()
 	pool := &Pool{}
 	t.Cleanup(pool.Close)
 	check := func(within time.Duration) error {
@@ -95,10 +93,10 @@
 		}
 		s.generation.Add(1)
 		if err := check(50 * time.Millisecond); err == nil {
-			t.Fatal("a call was answered over a silent connection")
+			t.Fatal("a call was answered over a stalled connection")
 		}
 	}
 	if err := check(10 * time.Second); err != nil {
-		t.Errorf("the silent connection was not replaced: %v", err)
+		t.Errorf("the stalled connection was not replaced: %v", err)
 	}
 }
