--- a/rockbarrow/endpointlist/list.go
+++ b/rockbarrow/endpointlist/list.go
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
 
-// Package endpointlist reads the own interface's lagging list of live and leaving
-// instances and endpoints.
+// Package endpointlist polls the platform's list of instances and endpoints, which
+// may be out of date.
 package endpointlist
 
 import (
@@ -19,9 +19,9 @@
 )
 
 const (
-	pollTimeout = time.Second
-	// maxList bounds the list's body.
-	maxList = 4 << 20
+	fetchTimeout = time.Second
+	// maxListSize bounds the response body in bytes.
+	maxListSize = 4 << 20
 )
 
 // List is the platform's list.
@@ -30,18 +30,18 @@
 	Endpoints []Entry `json:"endpoints"`
 }
 
-// Entry is one line of the list; State is "live", "leaving" or "gone".
+// Entry is one entry of the list. State is "live", "leaving" or "gone".
 type Entry struct {
 	Name  string `json:"name"`
 	State string `json:"state"`
 }
 
-// Roster takes the platform's word on instances.
+// Roster receives the listed states of instances.
 type Roster interface {
 	Listed(l roster.Listed)
 }
 
-// Poller polls the list. Set the exported fields before Run.
+// Poller polls the list. Set the exported fields before calling Run.
 type Poller struct {
 	HTTP     *http.Client
 	URL      string
@@ -52,10 +52,10 @@
 }
 
 // Run polls until ctx ends.
-func (w *Poller) Run(ctx context.Context) { w.loop(ctx) }
+func (p *Poller) Run(ctx context.Context) { p.loop(ctx) }
 
-func (w *Poller) loop(ctx context.Context) {
-	t := time.NewTicker(w.Interval)
+func (p *Poller) loop(ctx context.Context) {
+	t := time.NewTicker(p.Interval)
 	defer t.Stop()
 	for {
 		select {
@@ -63,45 +63,45 @@
 			return
 		case <-t.C:
 		}
-		list, err := w.read(ctx)
+		list, err := p.fetch(ctx)
 		if err != nil {
-			w.Log.WithError(err).Debug("the platform's list cannot be read")
+			p.Log.WithError(err).Debug("cannot read the platform's list")
 			continue
 		}
-		w.tell(list)
+		p.apply(list)
 	}
 }
 
-func (w *Poller) read(ctx context.Context) (*List, error) {
-	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
+func (p *Poller) fetch(ctx context.Context) (*List, error) {
+	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, w.URL, nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, p.URL, nil)
 	if err != nil {
-		return nil, errors.Wrap(err, "platform: list")
+		return nil, errors.Wrap(err, "endpointlist: create request")
 	}
-	resp, err := w.HTTP.Do(req)
+	resp, err := p.HTTP.Do(req)
 	if err != nil {
-		return nil, errors.Wrap(err, "platform: list")
+		return nil, errors.Wrap(err, "endpointlist: request")
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return nil, errors.Errorf("platform: list: status %d", resp.StatusCode)
+		return nil, errors.Errorf("endpointlist: status %d", resp.StatusCode)
 	}
-	return Decode(io.LimitReader(resp.Body, maxList))
+	return Decode(io.LimitReader(resp.Body, maxListSize))
 }
 
-// Decode reads a list.
+// Decode decodes a list.
 func Decode(r io.Reader) (*List, error) {
 	var l List
 	if err := json.NewDecoder(r).Decode(&l); err != nil {
-		return nil, errors.Wrap(err, "platform: list")
+		return nil, errors.Wrap(err, "endpointlist: decode")
 	}
 	return &l, nil
 }
 
-// tell passes the word on. An endpoint that is listed as leaving takes nothing
-// new from now on; only its next life clears that, so the list never does.
-func (w *Poller) tell(l *List) {
+// apply forwards the listed states. A listed endpoint that is not live takes no new
+// calls; this is only reset when the endpoint restarts, never by the list.
+func (p *Poller) apply(l *List) {
 	var listed roster.Listed
 	for _, i := range l.Instances {
 		switch i.State {
@@ -111,8 +111,8 @@
 			listed.Leaving = append(listed.Leaving, i.Name)
 		}
 	}
-	w.Roster.Listed(listed)
-	f := w.Desk.Fleet()
+	p.Roster.Listed(listed)
+	f := p.Desk.Fleet()
 	if f == nil {
 		return
 	}
