--- a/rockbarrow/entry/customer.go
+++ b/rockbarrow/entry/customer.go
@@ -29,7 +29,7 @@
 			x.customer = nil
 		}
 		return nil
-	case x.customer == nil && !x.entry.Lease.Newest(now, x.table.Version(), confirmedWithin):
+	case x.customer == nil && !x.entry.Lease.WasNewestWithin(now, x.table.Version(), confirmedWithin):
 		return Refused{Status: http.StatusServiceUnavailable, RetryAfter: x.entry.retryAfterUnconfirmed(now), Reason: "the key is not known here, which may lag behind"}
 	case x.customer == nil:
 		return Refused{Status: http.StatusUnauthorized, Reason: "no customer holds such a key"}
@@ -42,12 +42,12 @@
 // hasValidKey reports whether a request may still be offered to an endpoint under its customer's key: by the table that it
 // came under or by the one in force.
 func (e *Entry) hasValidKey(x *exchange, now time.Time) bool {
-	if x.customer == nil || e.Lease.Holds(now, x.table.Version()) {
+	if x.customer == nil || e.Lease.Valid(now, x.table.Version()) {
 		return true
 	}
 	t := e.table.Load()
 	c, ok := t.CustomerByKey(x.request.Key)
-	return ok && c.GetName() == x.customer.GetName() && e.Lease.Holds(now, t.Version())
+	return ok && c.GetName() == x.customer.GetName() && e.Lease.Valid(now, t.Version())
 }
 
 // retryAfterUnconfirmed is when a client had better come back that was refused because keys could not be confirmed.
--- a/rockbarrow/entry/customer_test.go
+++ b/rockbarrow/entry/customer_test.go
@@ -39,7 +39,7 @@
 		s.answers = []func(Offer) (*Answer, error){answers(200, "ok")}
 	}
 	e := newEntry(t, s)
-	e.Lease = &lease.Lease{Within: lease.Within(5 * time.Second)}
+	e.Lease = &lease.Lease{TTL: lease.TTL(5 * time.Second)}
 	e.take(t, keyed(2))
 	e.Lease.Confirm(2, time.Now())
 	return e
@@ -112,7 +112,7 @@
 	for _, test := range tests {
 		s := &fakeSender{}
 		e := newKeyed(t, s)
-		e.Lease = &lease.Lease{Within: lease.Within(5 * time.Second)}
+		e.Lease = &lease.Lease{TTL: lease.TTL(5 * time.Second)}
 		e.Lease.Confirm(2, time.Now().Add(-test.age))
 		out := &fakeOut{}
 		o := e.Serve(t.Context(), askAs(test.secret, test.path), out)
@@ -141,7 +141,7 @@
 func TestARequestWaitsForTheFirstConfirmation(t *testing.T) {
 	s := &fakeSender{}
 	e := newKeyed(t, s)
-	e.Lease = &lease.Lease{Within: lease.Within(5 * time.Second)}
+	e.Lease = &lease.Lease{TTL: lease.TTL(5 * time.Second)}
 	time.AfterFunc(3*learnTick, func() { e.Lease.Confirm(2, time.Now()) })
 	out := &fakeOut{}
 	if o := e.Serve(t.Context(), askAs("ka", "/once/1"), out); statusOf(o, out) != 200 {
@@ -153,7 +153,7 @@
 func TestWithoutCustomersKeysMeanNothing(t *testing.T) {
 	s := &fakeSender{answers: []func(Offer) (*Answer, error){answers(200, "ok")}}
 	e := newEntry(t, s)
-	e.Lease = &lease.Lease{Within: time.Second}
+	e.Lease = &lease.Lease{TTL: time.Second}
 	out := &fakeOut{}
 	if o := e.Serve(t.Context(), askAs("ka", "/once/1"), out); statusOf(o, out) != 200 || s.offers[0].HideKey || s.offers[0].Customer != "" {
 		t.Errorf("%+v, offers %+v", o, s.offers)
@@ -166,7 +166,7 @@
 	s := &fakeSender{}
 	e := newKeyed(t, s)
 	s.answers = []func(Offer) (*Answer, error){func(o Offer) (*Answer, error) {
-		e.Lease = &lease.Lease{Within: lease.Within(5 * time.Second)}
+		e.Lease = &lease.Lease{TTL: lease.TTL(5 * time.Second)}
 		e.Lease.Confirm(2, time.Now().Add(-5*time.Second))
 		return notRun(o)
 	}, answers(200, "ok")}
@@ -200,7 +200,7 @@
 		e := newKeyed(t, s)
 		s.answers = []func(Offer) (*Answer, error){func(o Offer) (*Answer, error) {
 			e.take(t, test.next)
-			e.Lease = &lease.Lease{Within: lease.Within(5 * time.Second)}
+			e.Lease = &lease.Lease{TTL: lease.TTL(5 * time.Second)}
 			e.Lease.Confirm(3, time.Now())
 			return notRun(o)
 		}, answers(200, "ok")}
--- a/rockbarrow/lease/lease.go
+++ b/rockbarrow/lease/lease.go
@@ -41,7 +41,7 @@
 const drift = 200 * time.Millisecond
 
 // Within returns how long a lease may be under a revocation bound, zero for ever if there is no bound.
-func Within(bound time.Duration) time.Duration {
+func TTL(bound time.Duration) time.Duration {
 	if bound <= 0 {
 		return 0
 	}
@@ -61,7 +61,7 @@
 // Lease is what one instance may go by. Set the exported field before the first call.
 type Lease struct {
 	// Within is how long it lasts after the moment of a confirmation. Zero is for ever.
-	Within time.Duration
+	TTL time.Duration
 
 	// confirmed are ordered by version and by moment: of two, the one of the newer version is also the later one.
 	confirmed atomic.Pointer[[]confirmation]
@@ -117,18 +117,18 @@
 }
 
 // Holds reports whether keys of a table of a version let requests in.
-func (l *Lease) Holds(now time.Time, version uint64) bool {
-	if l.Within == 0 {
+func (l *Lease) Valid(now time.Time, version uint64) bool {
+	if l.TTL == 0 {
 		return true
 	}
-	return l.Newest(now, version, l.Within)
+	return l.WasNewestWithin(now, version, l.TTL)
 }
 
 // Newest reports whether a table of a version was the newest one so lately.
-func (l *Lease) Newest(now time.Time, version uint64, within time.Duration) bool {
+func (l *Lease) WasNewestWithin(now time.Time, version uint64, within time.Duration) bool {
 	at, ok := l.at(version)
 	return ok && now.Sub(at) < within
 }
 
 // Unconfirmed reports whether nothing was confirmed yet although keys need it, as after a start.
-func (l *Lease) Unconfirmed() bool { return l.Within > 0 && l.confirmed.Load() == nil }
+func (l *Lease) Unconfirmed() bool { return l.TTL > 0 && l.confirmed.Load() == nil }
--- a/rockbarrow/lease/model_test.go
+++ b/rockbarrow/lease/model_test.go
@@ -60,7 +60,7 @@
 type controlModel struct {
 	acceptor register.Acceptor
 	known    *fleetpb.State
-	votes    Votes
+	votes    VoterStates
 	round    *register.Round
 	began    time.Time
 }
@@ -106,12 +106,12 @@
 		m.control = append(m.control, c)
 	}
 	m.ballots = 1
-	within := Within(modelBound)
+	within := TTL(modelBound)
 	if out == noBound {
 		within = 2 * modelBound
 	}
 	for range modelEntries {
-		m.entries = append(m.entries, &entryModel{table: 1, lease: Lease{Within: within}})
+		m.entries = append(m.entries, &entryModel{table: 1, lease: Lease{TTL: within}})
 	}
 	return m
 }
@@ -221,7 +221,7 @@
 			if m.out == countFromAnswers {
 				asked = m.now
 			}
-			m.control[i].votes.Heard(storage(j), number, asked)
+			m.control[i].votes.Record(storage(j), number, asked)
 			m.learn(i, known)
 		})
 	})
@@ -308,8 +308,8 @@
 	m.send(from, j, func() {
 		c := m.control[j]
 		s := c.known
-		c.votes.Heard(storage(j), c.acceptor.Record().GetState().GetNumber(), m.now)
-		at, ok := c.votes.Confirm(s)
+		c.votes.Record(storage(j), c.acceptor.Record().GetState().GetNumber(), m.now)
+		at, ok := c.votes.ConfirmedAt(s)
 		if m.out == oneVoter {
 			at, ok = m.now, true
 		}
@@ -339,7 +339,7 @@
 // check compares what each entry instance would let in with what was acknowledged.
 func (m *model) check() string {
 	for i, e := range m.entries {
-		if !m.runs(modelControl+i) || !e.lease.Holds(m.now, e.table) {
+		if !m.runs(modelControl+i) || !e.lease.Valid(m.now, e.table) {
 			continue
 		}
 		m.held++
--- a/rockbarrow/lease/votes.go
+++ b/rockbarrow/lease/votes.go
@@ -11,7 +11,7 @@
 
 // Votes is what a control instance was told by voters of the newest states that they have accepted. The zero value is
 // ready.
-type Votes struct {
+type VoterStates struct {
 	said map[uint64]vote
 }
 
@@ -22,7 +22,7 @@
 }
 
 // Heard takes an answer of a storage to a question of a moment.
-func (v *Votes) Heard(storage, number uint64, asked time.Time) {
+func (v *VoterStates) Record(storage, number uint64, asked time.Time) {
 	if v.said == nil {
 		v.said = map[uint64]vote{}
 	}
@@ -33,7 +33,7 @@
 
 // Confirm returns the latest moment by which a majority of the voters of s had accepted nothing newer than s, and
 // whether there is one. A newer state needs a majority of them too, also where it has other voters.
-func (v *Votes) Confirm(s *fleetpb.State) (at time.Time, ok bool) {
+func (v *VoterStates) ConfirmedAt(s *fleetpb.State) (at time.Time, ok bool) {
 	var moments []time.Time
 	for _, voter := range s.GetVoters() {
 		said, known := v.said[voter.GetStorage()]
--- a/rockbarrow/watch/watch.go
+++ b/rockbarrow/watch/watch.go
@@ -96,7 +96,7 @@
 	// reported is what control instances have been told about calls at endpoints.
 	reported reportedUses
 	// votes are the answers of voters.
-	votes lease.Votes
+	votes lease.VoterStates
 	ctx   context.Context
 }
 
@@ -230,8 +230,8 @@
 func (c *Client) Confirm(s *fleetpb.State, own uint64, asked time.Time) (at time.Time, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.votes.Heard(c.Self.GetStorage(), own, asked)
-	return c.votes.Confirm(s)
+	c.votes.Record(c.Self.GetStorage(), own, asked)
+	return c.votes.ConfirmedAt(s)
 }
 
 // handleReply processes the answer to a call that was sent at asked. Ages in the
@@ -262,7 +262,7 @@
 	t.member, t.lastAnswer, t.answered, t.reach = r.GetResponder(), now, true, r.GetReach()
 	t.backoff, t.backoffUntil, t.relayedSequence = 0, time.Time{}, r.GetRelayedSequence()
 	if storage := r.GetResponder().GetStorage(); c.Role == fleetpb.Role_ROLE_CONTROL && storage != 0 {
-		c.votes.Heard(storage, r.GetAcceptedNumber(), asked)
+		c.votes.Record(storage, r.GetAcceptedNumber(), asked)
 	}
 	back, t.unreachable = t.unreachable, false
 	if len(r.GetControl()) > 0 {
