--- a/rockbarrow/placement/class.go
+++ b/rockbarrow/placement/class.go
@@ -69,7 +69,7 @@
 
 // Next returns a fleet with some endpoints added or changed and others removed by name; the rest are shared with f.
 // The fleet f must come from [NewServiceFleet] or Next.
-func (f *Fleet) Next(now time.Time, changed []ListedEndpoint, gone []string) *Fleet {
+func (f *Fleet) Next(now time.Time, changed []ListedEndpoint, removedNames []string) *Fleet {
 	next := newFleetFrom(f.policy, f)
 	var added []*Endpoint
 	removed := map[string]bool{}
@@ -77,7 +77,7 @@
 		added = append(added, reuseEndpoint(now, l, f))
 		removed[l.Config.GetName()] = true
 	}
-	for _, name := range gone {
+	for _, name := range removedNames {
 		removed[name] = true
 	}
 	added = sortByName(added)
--- a/rockbarrow/placement/scale_test.go
+++ b/rockbarrow/placement/scale_test.go
@@ -97,14 +97,14 @@
 	whole := f
 	for range 300 {
 		var changed []*configpb.Endpoint
-		var gone []string
+		var removed []string
 		for range r.IntN(5) {
 			name := fmt.Sprintf("e%02d", r.IntN(40))
-			if contains(changed, name) || slices.Contains(gone, name) {
+			if contains(changed, name) || slices.Contains(removed, name) {
 				continue
 			}
 			if r.IntN(3) == 0 {
-				gone = append(gone, name)
+				removed = append(removed, name)
 				delete(present, name)
 				continue
 			}
@@ -113,7 +113,7 @@
 			}
 			changed, present[name] = append(changed, e), e
 		}
-		f = f.Next(now, listed(changed), gone)
+		f = f.Next(now, listed(changed), removed)
 		whole = NewServiceFleet(now, listed(slices.Collect(maps.Values(present))), Spread, nil)
 		for _, class := range []Class{{Service: "s"}, {Service: "t"}} {
 			got, want := f.Candidates(class), whole.Candidates(class)
--- a/rockbarrow/placement/tracked.go
+++ b/rockbarrow/placement/tracked.go
@@ -30,8 +30,8 @@
 func (t *trackedEndpoints) prune(f *Fleet) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	gone := func(e *Endpoint) bool { return f.Endpoint(e.name) != e }
-	t.used, t.remotelyLoaded = slices.DeleteFunc(slices.Clone(t.used), gone), slices.DeleteFunc(slices.Clone(t.remotelyLoaded), gone)
+	stale := func(e *Endpoint) bool { return f.Endpoint(e.name) != e }
+	t.used, t.remotelyLoaded = slices.DeleteFunc(slices.Clone(t.used), stale), slices.DeleteFunc(slices.Clone(t.remotelyLoaded), stale)
 }
 
 // snapshot returns both lists. They must not be changed.
