--- a/rockbarrow/fair/fair.go
+++ b/rockbarrow/fair/fair.go
@@ -1,25 +1,26 @@
 // SPDX-License-Identifier: MIT
 
-// Package fair shares service among customers by their weights.
+// Package fair implements start-time fair queueing among customers with weights.
 //
-// Each customer has a virtual time: the work that it has had, over its weight. Who is behind the most is served next
-// (start-time fair queueing). A customer that was away joins at the clock, the virtual time of who was served last, so
-// that nobody saves up service.
+// Each customer has a virtual time: the work that it has received, divided by its weight. The customer with the lowest
+// virtual time is served next. A customer that was idle starts at the virtual clock, the start tag of the last served
+// request, so that idle customers accumulate no credit.
 package fair
 
-// Clock is the virtual time of one queue. The zero value is ready.
+// VirtualClock is the virtual time of a queue. The zero value is ready to use.
 type VirtualClock struct{ now float64 }
 
-// Join returns the virtual time with which a customer that had nothing waiting joins the queue.
+// StartTag returns the start tag of a customer's next request, given the customer's virtual time.
 func (c *VirtualClock) StartTag(virtual float64) float64 { return max(virtual, c.now) }
 
-// Serve notes that a customer with a virtual time is served.
+// Advance moves the clock to the start tag of a request that is served.
 func (c *VirtualClock) Advance(virtual float64) { c.now = max(c.now, virtual) }
 
-// Behind reports whether a virtual time is not ahead of the clock: a customer with it may be forgotten.
+// Passed reports whether a virtual time is not ahead of the clock. The state of an idle customer with such a time need
+// not be kept.
 func (c *VirtualClock) Passed(virtual float64) bool { return virtual <= c.now }
 
-// Charge returns a customer's virtual time after some work. A weight of 0 counts as 1.
+// FinishTag returns a customer's virtual time after some work. A weight of 0 counts as 1.
 func FinishTag(virtual, work, weight float64) float64 {
 	if weight <= 0 {
 		weight = 1
