--- a/rockbarrow/admission/doc.go
+++ b/rockbarrow/admission/doc.go
@@ -1,19 +1,20 @@
 // SPDX-License-Identifier: MIT
 
-// Package admission decides which waiting call goes next and which is refused.
+// Package admission queues calls that wait for an endpoint, and rejects calls when
+// the queue is too long.
 //
-// Calls wait by customer. The customer that has had the least for its weight
-// goes first; within a customer, runs under way go before new ones and older
-// runs before younger ones. A call that could not be served before its deadline
-// is refused at once, with the time to come back, and never held back:
+// Customers are served by weighted fair queueing. Within a customer, runs in
+// progress have priority over new ones, and older runs over younger ones. A call
+// that is not expected to be served in time is rejected on arrival with a retry
+// time:
 //
-//	g := admission.Gate{MaxQueue: 512}
-//	for _, a := range g.Handle(now, admission.Arrived{ID: 1, Customer: "club"}) {
+//	q := admission.Queue{MaxQueue: 512}
+//	for _, a := range q.Handle(now, admission.Arrived{ID: 1, Customer: "club"}) {
 //		switch a := a.(type) {
 //		case admission.Try:
-//			// find an endpoint; answer with admission.Taken or admission.NoRoom
-//		case admission.Refuse:
-//			// tell the caller; nothing ran
+//			// find an endpoint; respond with admission.Placed or admission.NoCapacity
+//		case admission.Reject:
+//			// report the problem to the caller; the call did not run
 //		}
 //	}
 package admission
--- a/rockbarrow/admission/retry.go
+++ b/rockbarrow/admission/retry.go
@@ -5,37 +5,38 @@
 import "sync/atomic"
 
 const (
-	// retryShare is how many retries a first try pays for, in hundredths.
+	// retryShare is the number of retries allowed per first attempt, in hundredths.
 	retryShare = 10
-	// retryReserve is how many retries are free, and bounds what is saved up.
+	// retryReserve is the largest number of unspent retries, in hundredths.
 	retryReserve = 20 * 100
 )
 
-// RetryBudget bounds retries to a share of first tries, so that retries never
-// multiply an overload. The zero value is a full budget.
+// RetryBudget limits retries to a fraction of first attempts, which prevents
+// retry storms. The zero value is a full budget.
 type RetryBudget struct {
-	// spent is retries not yet paid for, in hundredths; 0 to retryReserve.
-	spent atomic.Int64
+	// debt is the number of retries in excess of those earned by first attempts,
+	// in hundredths; 0 to retryReserve.
+	debt atomic.Int64
 }
 
-// First records a first try.
+// RecordFirstAttempt adds a first attempt's share to the budget.
 func (b *RetryBudget) RecordFirstAttempt() {
 	for {
-		s := b.spent.Load()
-		if s == 0 || b.spent.CompareAndSwap(s, max(0, s-retryShare)) {
+		s := b.debt.Load()
+		if s == 0 || b.debt.CompareAndSwap(s, max(0, s-retryShare)) {
 			return
 		}
 	}
 }
 
-// Retry takes one retry from the budget, or reports that none is left.
+// TryRetry takes one retry from the budget. It reports false if none is left.
 func (b *RetryBudget) TryRetry() bool {
 	for {
-		s := b.spent.Load()
+		s := b.debt.Load()
 		if s+100 > retryReserve {
 			return false
 		}
-		if b.spent.CompareAndSwap(s, s+100) {
+		if b.debt.CompareAndSwap(s, s+100) {
 			return true
 		}
 	}
