--- a/rockbarrow/limiter/doc.go
+++ b/rockbarrow/limiter/doc.go
@@ -1,14 +1,13 @@
 // SPDX-License-Identifier: MIT
 
-// Package limiter decides which requests of agent programs may be at endpoints now,
-// which of them wait, and which are told at once when to come back.
+// Package limiter is a concurrency limiter with a priority queue for the requests of
+// agent programs: it starts them, queues them or rejects them with a retry time.
 //
-// A program earns nothing unless all its turns are answered, so it is programs that are
-// admitted: a turn of one that is under way goes before the first turn of a new one, and
-// a new one is rejected as soon as it is clear that it would wait too long. So what is
-// begun is finished, and the prompts of programs under way stay in the endpoints' caches.
+// A program is of use only if all its turns are answered, so admission is by program:
+// turns of programs in progress have priority over the first turns of new ones, and a
+// new program is rejected as soon as its expected wait is too long. This finishes
+// programs that have started and keeps their prompts in the endpoints' caches.
 //
 // A [Limiter] is a state machine for one service at one instance: [Limiter.Handle] takes
-// an event and returns what is to be done. It does no I/O, reads no clock and starts no
-// goroutine.
+// an event and returns actions. It does no I/O, reads no clock and starts no goroutine.
 package limiter
--- a/rockbarrow/limiter/event.go
+++ b/rockbarrow/limiter/event.go
@@ -4,40 +4,39 @@
 
 import "time"
 
-// ID is the caller's name for a request.
+// ID identifies a request. It is assigned by the caller.
 type ID uint64
 
-// Event is what a [Limiter] handles: [Arrived], [Finished], [Withdrawn] or [Resized].
+// Event is an input of a [Limiter]: [Arrived], [Finished], [Cancelled] or [Resized].
 type Event interface{ event() }
 
-// Arrived is a request that wants a place.
+// Arrived reports a request that needs a slot.
 type Arrived struct {
 	ID ID
-	// Underway is true if a turn of its program was served before.
+	// InProgress is true if an earlier turn of the program has been served.
 	InProgress bool
-	// Left is the time until its program should be over, where Timed says that it is
-	// known.
+	// Remaining is the time until the program's deadline, if HasDeadline is true.
 	Remaining   time.Duration
 	HasDeadline bool
-	// Patience is how long it may wait if it is the first turn of a new program, or a
-	// turn of a program that is late.
+	// MaxWait bounds the time in the queue for the first turn of a new program and for
+	// turns of programs past their deadline.
 	MaxWait time.Duration
-	// Wait is how long its client waits for an answer; zero is no bound.
+	// ClientTimeout is how long the client waits for a response; zero is no limit.
 	ClientTimeout time.Duration
-	// Priority 0 is the most urgent.
+	// Priority orders new programs; 0 is the highest.
 	Priority uint32
-	// Customer is whose request it is, or "", and Weight its part of the places, 0 for one part.
+	// Customer, which may be empty, shares slots with others by Weight; 0 counts as 1.
 	Customer string
 	Weight   float64
 }
 
-// Finished is a request that has given its place back.
+// Finished reports that a request has released its slot.
 type Finished struct{ ID ID }
 
-// Withdrawn is a request that no longer waits: its client left or its time is over.
+// Cancelled reports that a queued request is no longer wanted.
 type Cancelled struct{ ID ID }
 
-// Resized tells how many places there are for this instance.
+// Resized sets the number of slots of this instance.
 type Resized struct{ Slots int }
 
 func (Arrived) event()   {}
@@ -45,16 +44,16 @@
 func (Cancelled) event() {}
 func (Resized) event()   {}
 
-// Action is what a [Limiter] wants done: [Start] or [Reject].
+// Action is an output of a [Limiter]: [Start] or [Reject].
 type Action interface{ action() }
 
-// Start gives a request its place.
+// Start grants a slot to a request.
 type Start struct{ ID ID }
 
-// Reject tells a client that its request did not run.
+// Reject refuses a request, which has not run.
 type Reject struct {
 	ID ID
-	// RetryAfter is when there is likely to be a place.
+	// RetryAfter is the time until a slot is expected to be free.
 	RetryAfter time.Duration
 }
 
--- a/rockbarrow/limiter/limiter.go
+++ b/rockbarrow/limiter/limiter.go
@@ -12,168 +12,169 @@
 	"rockbarrow.dev/rockbarrow/fair"
 )
 
-// Limiter admits requests to the places of one service. The zero value has no places
+// Limiter assigns the slots of one service to requests. The zero value has no slots
 // until it is [Resized].
 type Limiter struct {
-	places int
-	// running holds when each request got its place.
+	slots int
+	// running maps requests with a slot to their start times.
 	running map[ID]time.Time
-	// waiting is ordered by before: the one that starts next is the first.
-	waiting []*waiter
-	// arrivals numbers the requests, so that equal ones keep their order.
+	// waiting is the queue, ordered by compareRequests.
+	waiting []*queuedRequest
+	// arrivals numbers the requests, which keeps the order of equal ones.
 	arrivals uint64
-	// begun are the starts of each group.
-	begun [groups]rate
-	// taken is how long requests keep their places, smoothed.
-	taken time.Duration
-	// promised is when the client that was rejected last is to come back.
-	promised time.Time
-	// clock orders the new programs of customers, and customers holds the virtual time of each.
-	clock     fair.VirtualClock
-	customers map[string]float64
+	// startRates are the rates at which requests of each group start.
+	startRates [numGroups]slidingRate
+	// meanServiceTime is a moving average of how long requests hold a slot.
+	meanServiceTime time.Duration
+	// lastRetryAt is the retry time given to the last rejected client.
+	lastRetryAt time.Time
+	// clock and virtualTimes, by customer, implement fair queueing of new programs.
+	clock        fair.VirtualClock
+	virtualTimes map[string]float64
 }
 
-// group is the first part of the order in which requests start.
-type group int
+// priorityGroup is the primary key of the queue's order.
+type priorityGroup int
 
 const (
-	// underway are turns of programs that can still be in time.
-	underway group = iota
-	// fresh are first turns.
-	fresh
-	// late are turns of programs whose time is over. They start when nobody else waits.
-	late
-	// groups is their number.
-	groups
+	// groupInProgress holds turns of programs that can still meet their deadline.
+	groupInProgress priorityGroup = iota
+	// groupNew holds first turns.
+	groupNew
+	// groupOverdue holds turns of programs past their deadline, which start when no other
+	// request waits.
+	groupOverdue
+	numGroups
 )
 
-type waiter struct {
+type queuedRequest struct {
 	id       ID
-	group    group
+	group    priorityGroup
 	priority uint32
-	// due is when the program should be over. Programs that did not say have none, and go
-	// first in their group in the order of their arrival.
-	due time.Time
-	// latest is when it must start to be answered while its client waits; zero if the
-	// client did not say how long that is.
-	latest time.Time
-	// virtual is the customer's virtual time at which a new program of it is to start.
+	// deadline is that of the program. Programs without one have the zero time, and go
+	// first in their group in order of arrival.
+	deadline time.Time
+	// startBy is the latest start for a response within the client's timeout; zero if
+	// there is no timeout.
+	startBy time.Time
+	// virtual is the start tag of the request in fair queueing.
 	virtual float64
 	arrival uint64
 }
 
-// before orders waiting requests.
-func before(a, b *waiter) int {
+// compareRequests orders the queue: by group; then new programs by priority and start
+// tag, programs in progress by deadline; then by arrival.
+func compareRequests(a, b *queuedRequest) int {
 	if c := cmp.Compare(a.group, b.group); c != 0 {
 		return c
 	}
-	if c := cmp.Compare(a.priority, b.priority); c != 0 && a.group == fresh {
+	if c := cmp.Compare(a.priority, b.priority); c != 0 && a.group == groupNew {
 		return c
 	}
-	if c := a.due.Compare(b.due); c != 0 && a.group == underway {
+	if c := a.deadline.Compare(b.deadline); c != 0 && a.group == groupInProgress {
 		return c
 	}
-	if c := cmp.Compare(a.virtual, b.virtual); c != 0 && a.group == fresh {
+	if c := cmp.Compare(a.virtual, b.virtual); c != 0 && a.group == groupNew {
 		return c
 	}
 	return cmp.Compare(a.arrival, b.arrival)
 }
 
-// Handle takes an event and returns what is to be done about it.
+// Handle processes an event and returns the resulting actions.
 func (l *Limiter) Handle(now time.Time, e Event) []Action {
-	out := l.giveUp(now)
+	out := l.rejectExpired(now)
 	switch e := e.(type) {
 	case Arrived:
 		return append(out, l.arrive(now, e)...)
 	case Finished:
 		l.finish(now, e.ID)
 	case Cancelled:
-		l.drop(e.ID)
+		l.remove(e.ID)
 	case Resized:
-		l.places = e.Slots
+		l.slots = e.Slots
 	}
-	return append(out, l.fill(now)...)
+	return append(out, l.startWaiting(now)...)
 }
 
-// smoothing is the weight of a new measurement of how long places are kept.
+// smoothing is the weight of a new sample of the service time.
 const smoothing = 0.05
 
 func (l *Limiter) finish(now time.Time, id ID) {
-	began, ok := l.running[id]
+	started, ok := l.running[id]
 	if !ok {
 		return
 	}
 	delete(l.running, id)
-	took := now.Sub(began)
-	if l.taken == 0 {
-		l.taken = took
+	serviceTime := now.Sub(started)
+	if l.meanServiceTime == 0 {
+		l.meanServiceTime = serviceTime
 	}
-	l.taken += time.Duration(smoothing * float64(took-l.taken))
+	l.meanServiceTime += time.Duration(smoothing * float64(serviceTime-l.meanServiceTime))
 }
 
-// giveUp rejects those who have waited so long that their clients will be gone before
-// they are answered.
-func (l *Limiter) giveUp(now time.Time) []Action {
+// rejectExpired rejects queued requests that can no longer be answered within the
+// client's timeout.
+func (l *Limiter) rejectExpired(now time.Time) []Action {
 	var out []Action
-	l.waiting = slices.DeleteFunc(l.waiting, func(w *waiter) bool {
-		if w.latest.IsZero() || now.Before(w.latest) {
+	l.waiting = slices.DeleteFunc(l.waiting, func(w *queuedRequest) bool {
+		if w.startBy.IsZero() || now.Before(w.startBy) {
 			return false
 		}
-		out = append(out, Reject{ID: w.id, RetryAfter: l.retryAfter(now, l.expect(now, w.group, 0))})
+		out = append(out, Reject{ID: w.id, RetryAfter: l.retryAfter(now, l.expectedWait(now, w.group, 0))})
 		return true
 	})
 	return out
 }
 
-// Running returns the number of requests that have places, Waiting of those that wait.
+// Running returns the number of requests that have a slot.
 func (l *Limiter) Running() int { return len(l.running) }
 
-// Waiting returns the number of requests that wait.
+// Waiting returns the number of queued requests.
 func (l *Limiter) Waiting() int { return len(l.waiting) }
 
 func (l *Limiter) arrive(now time.Time, e Arrived) []Action {
 	l.arrivals++
-	w := &waiter{id: e.ID, group: groupOf(e), priority: e.Priority, virtual: l.clock.StartTag(l.customers[e.Customer]), arrival: l.arrivals}
+	w := &queuedRequest{id: e.ID, group: groupOf(e), priority: e.Priority, virtual: l.clock.StartTag(l.virtualTimes[e.Customer]), arrival: l.arrivals}
 	if e.HasDeadline {
-		w.due = now.Add(e.Remaining)
+		w.deadline = now.Add(e.Remaining)
 	}
-	most := time.Duration(math.MaxInt64)
+	maxWait := time.Duration(math.MaxInt64)
 	if e.ClientTimeout > 0 {
-		most = max(0, e.ClientTimeout-l.taken)
-		w.latest = now.Add(most)
+		maxWait = max(0, e.ClientTimeout-l.meanServiceTime)
+		w.startBy = now.Add(maxWait)
 	}
-	if w.group != underway {
-		most = min(most, e.MaxWait)
+	if w.group != groupInProgress {
+		maxWait = min(maxWait, e.MaxWait)
 	}
-	at, _ := slices.BinarySearchFunc(l.waiting, w, before)
-	if at > 0 || !l.room(w.group) {
-		if wait := l.expect(now, w.group, l.ahead(at, w.group)); wait > most {
+	at, _ := slices.BinarySearchFunc(l.waiting, w, compareRequests)
+	if at > 0 || !l.hasSlot(w.group) {
+		if wait := l.expectedWait(now, w.group, l.countAhead(at, w.group)); wait > maxWait {
 			return []Action{Reject{ID: e.ID, RetryAfter: l.retryAfter(now, wait)}}
 		}
 	}
 	l.waiting = slices.Insert(l.waiting, at, w)
-	if w.group == fresh {
+	if w.group == groupNew {
 		l.charge(e.Customer, w.virtual, e.Weight)
 	}
-	return l.fill(now)
+	return l.startWaiting(now)
 }
 
-// manyCustomers is how many virtual times are kept before those that are behind the clock are dropped.
-const manyCustomers = 256
+// maxVirtualTimes is the number of virtual times from which on those behind the clock are removed.
+const maxVirtualTimes = 256
 
-// charge moves a customer behind those that had fewer new programs for their weights.
+// charge advances a customer's virtual time by one new program.
 func (l *Limiter) charge(customer string, virtual, weight float64) {
-	if len(l.customers) >= manyCustomers {
-		maps.DeleteFunc(l.customers, func(_ string, v float64) bool { return l.clock.Passed(v) })
+	if len(l.virtualTimes) >= maxVirtualTimes {
+		maps.DeleteFunc(l.virtualTimes, func(_ string, v float64) bool { return l.clock.Passed(v) })
 	}
-	if l.customers == nil {
-		l.customers = map[string]float64{}
+	if l.virtualTimes == nil {
+		l.virtualTimes = map[string]float64{}
 	}
-	l.customers[customer] = fair.FinishTag(virtual, 1, weight)
+	l.virtualTimes[customer] = fair.FinishTag(virtual, 1, weight)
 }
 
-// ahead returns how many of a group wait before a position.
-func (l *Limiter) ahead(at int, g group) int {
+// countAhead returns the number of queued requests of a group before a position.
+func (l *Limiter) countAhead(at int, g priorityGroup) int {
 	n := 0
 	for _, w := range l.waiting[:at] {
 		if w.group == g {
@@ -183,80 +184,78 @@
 	return n
 }
 
-func groupOf(e Arrived) group {
+func groupOf(e Arrived) priorityGroup {
 	switch {
 	case e.HasDeadline && e.Remaining <= 0:
-		return late
+		return groupOverdue
 	case e.InProgress:
-		return underway
+		return groupInProgress
 	}
-	return fresh
+	return groupNew
 }
 
-// fill starts waiting requests while there are places.
-func (l *Limiter) fill(now time.Time) []Action {
+// startWaiting starts queued requests while there are free slots.
+func (l *Limiter) startWaiting(now time.Time) []Action {
 	var out []Action
-	for len(l.waiting) > 0 && l.room(l.waiting[0].group) {
+	for len(l.waiting) > 0 && l.hasSlot(l.waiting[0].group) {
 		w := l.waiting[0]
 		l.waiting = l.waiting[1:]
 		if l.running == nil {
 			l.running = map[ID]time.Time{}
 		}
 		l.running[w.id] = now
-		if w.group == fresh {
+		if w.group == groupNew {
 			l.clock.Advance(w.virtual)
 		}
-		l.begun[w.group].add(now)
+		l.startRates[w.group].add(now)
 		out = append(out, Start{ID: w.id})
 	}
 	return out
 }
 
-// room reports whether a request may start now. All but turns of programs that can be
-// in time leave some places free: these turns come back from their pauses by chance, and
-// while n places are busy on average the number that wants one varies by the root of n.
-func (l *Limiter) room(g group) bool {
-	most := l.places
-	if g != underway {
-		most = max(min(1, most), most-int(math.Sqrt(float64(most))))
+// hasSlot reports whether a request of a group may start now. Groups other than
+// groupInProgress leave the square root of the slots free: turns of programs in
+// progress arrive at random, and with n slots in use on average their number has a
+// standard deviation of the square root of n.
+func (l *Limiter) hasSlot(g priorityGroup) bool {
+	slots := l.slots
+	if g != groupInProgress {
+		slots = max(min(1, slots), slots-int(math.Sqrt(float64(slots))))
 	}
-	return len(l.running) < most
+	return len(l.running) < slots
 }
 
-func (l *Limiter) drop(id ID) {
-	l.waiting = slices.DeleteFunc(l.waiting, func(w *waiter) bool { return w.id == id })
+func (l *Limiter) remove(id ID) {
+	l.waiting = slices.DeleteFunc(l.waiting, func(w *queuedRequest) bool { return w.id == id })
 }
 
-// longest bounds what a client is told to wait when nothing is known of how fast
-// requests like its own start.
-const longest = 2 * time.Second
+// maxRetryAfter bounds the expected wait, and is used for it while the start rate is unknown.
+const maxRetryAfter = 2 * time.Second
 
-// expect returns how long a request waits behind so many others of its group. Those of
-// earlier groups go before it all the time, so that what counts is how often its own
-// group has started lately.
-func (l *Limiter) expect(now time.Time, g group, ahead int) time.Duration {
-	perSecond := l.begun[g].perSecond(now)
+// expectedWait estimates the wait of a request behind others of its group. It uses the
+// recent start rate of that group, because groups of higher priority always go first.
+func (l *Limiter) expectedWait(now time.Time, g priorityGroup, ahead int) time.Duration {
+	perSecond := l.startRates[g].perSecond(now)
 	switch {
-	case perSecond == 0 && g == underway:
-		// Nothing says that the next place is far.
-		return 0
+	case perSecond == 0 && g == groupInProgress:
+		return 0 // nothing is known, and these requests go first
 	case perSecond == 0:
-		return longest
+		return maxRetryAfter
 	}
-	return min(longest, time.Duration(float64(ahead+1)/perSecond*float64(time.Second)))
+	return min(maxRetryAfter, time.Duration(float64(ahead+1)/perSecond*float64(time.Second)))
 }
 
-// retryAfter spreads the clients that are rejected over the time to come, in the order in
-// which they were, as fast as new programs begin.
+// retryAfter returns the retry time for a rejected client. Successive clients get
+// increasing times, at the rate at which new programs start.
 func (l *Limiter) retryAfter(now time.Time, wait time.Duration) time.Duration {
-	step := l.expect(now, fresh, 0)
+	step := l.expectedWait(now, groupNew, 0)
 	next := now.Add(wait)
-	if after := l.promised.Add(step); after.After(next) {
+	if after := l.lastRetryAt.Add(step); after.After(next) {
 		next = after
 	}
-	if next.After(now.Add(longest)) {
-		next = now.Add(longest)
+	if next.After(now.Add(maxRetryAfter)) {
+		next = now.Add(maxRetryAfter)
 	}
-	l.promised = next
+	l.lastRetryAt = next
 	return next.Sub(now)
 }
--- a/rockbarrow/limiter/limiter_test.go
+++ b/rockbarrow/limiter/limiter_test.go
@@ -10,7 +10,7 @@
 
 var start = time.Unix(1000, 0)
 
-// ids returns the requests that are started, and the rejection if there is one.
+// ids returns the started requests, and the last rejection if there is one.
 func ids(actions []Action) (started []ID, rejected *Reject) {
 	for _, a := range actions {
 		switch a := a.(type) {
@@ -29,7 +29,7 @@
 	return Arrived{ID: id, InProgress: true, HasDeadline: true, Remaining: left}
 }
 
-func TestTurnsOfProgramsUnderWayGoFirst(t *testing.T) {
+func TestQueueOrder(t *testing.T) {
 	var l Limiter
 	l.Handle(start, Resized{Slots: 1})
 	l.Handle(start, newProgram(1, time.Second))
@@ -43,7 +43,7 @@
 			t.Fatalf("%d: started %v, rejected %v", a.ID, started, rejected)
 		}
 	}
-	// The least time left first, then new programs by priority, then those that are late.
+	// Programs in progress by deadline, then new programs by priority, then overdue ones.
 	running := ID(1)
 	for _, want := range []ID{6, 5, 3, 2, 4} {
 		started, _ := ids(l.Handle(start, Finished{ID: running}))
@@ -54,8 +54,8 @@
 	}
 }
 
-// TestCustomersShareByTheirWeights: a customer that sends far more new programs than another one takes no more than its
-// part of the places, also if it was there first; and one that was away has saved nothing up.
+// A customer that sends many new programs gets no more than its share of slots, even if it was first, and an idle
+// customer accumulates no credit.
 func TestCustomersShareByTheirWeights(t *testing.T) {
 	var l Limiter
 	l.Handle(start, Resized{Slots: 1})
@@ -83,51 +83,51 @@
 		counts[owner[running]]++
 	}
 	if counts["loud"] > 5 || counts["quiet"] < 3 || counts["large"] < 7 {
-		t.Errorf("of sixteen places: %v", counts)
+		t.Errorf("sixteen slots were shared as %v", counts)
 	}
 	arrive(400, "away", 1)
 	arrive(401, "away", 1)
 	first, _ := ids(l.Handle(start, Finished{ID: running}))
 	second, _ := ids(l.Handle(start, Finished{ID: first[0]}))
 	if owner[first[0]] == "away" && owner[second[0]] == "away" {
-		t.Error("a customer that was away comes before all others twice")
+		t.Error("a customer that was idle is served twice in a row")
 	}
 }
 
-func TestANewProgramIsRejectedOnceItWouldWaitTooLong(t *testing.T) {
+func TestNewProgramIsRejectedIfTheWaitIsTooLong(t *testing.T) {
 	var l Limiter
 	l.Handle(start, Resized{Slots: 9})
-	// Six new programs a second begin: three of nine places are kept for turns.
+	// Six new programs start per second: three of the nine slots are reserved.
 	for id := range ID(6) {
 		if started, _ := ids(l.Handle(start, newProgram(id, 400*time.Millisecond))); len(started) != 1 {
 			t.Fatalf("%d did not start", id)
 		}
 	}
-	var told []time.Duration
+	var retries []time.Duration
 	for id := ID(6); id < 12; id++ {
 		started, rejected := ids(l.Handle(start, newProgram(id, 400*time.Millisecond)))
 		if started != nil {
 			t.Fatalf("%d started", id)
 		}
 		if rejected != nil {
-			told = append(told, rejected.RetryAfter.Round(time.Millisecond))
+			retries = append(retries, rejected.RetryAfter.Round(time.Millisecond))
 		}
 	}
-	if l.Waiting() != 2 || len(told) != 4 {
-		t.Fatalf("%d wait, told %v", l.Waiting(), told)
+	if l.Waiting() != 2 || len(retries) != 4 {
+		t.Fatalf("%d requests wait and the retry times are %v, want 2 and 4 times", l.Waiting(), retries)
 	}
-	for i := 1; i < len(told); i++ {
-		if told[i] < told[i-1] || told[i] > longest {
-			t.Errorf("told %v, want them to come back one after another", told)
+	for i := 1; i < len(retries); i++ {
+		if retries[i] < retries[i-1] || retries[i] > maxRetryAfter {
+			t.Errorf("retry times %v, want increasing ones of at most %v", retries, maxRetryAfter)
 		}
 	}
 	if started, _ := ids(l.Handle(start, laterTurn(12, time.Second))); len(started) != 1 {
-		t.Error("a turn found no place among those that are kept for it")
+		t.Error("a turn of a program in progress did not get a reserved slot")
 	}
 }
 
-// TestNobodyIsHeldWhoWillNotBeServed: a turn is rejected when its client will be gone
-// before it can be answered, on arrival if that is known then.
+// A turn is rejected as soon as it is known that it cannot be answered within the
+// client's timeout.
 func TestNobodyIsHeldWhoWillNotBeServed(t *testing.T) {
 	var l Limiter
 	l.Handle(start, Resized{Slots: 2})
@@ -139,33 +139,33 @@
 	now := start.Add(400 * time.Millisecond)
 	l.Handle(now, Finished{ID: 1})
 	l.Handle(now, turn(3, time.Second))
-	// A place is kept for 400 ms, and two turns a second have started.
+	// The service time is 400 ms, and two turns have started in the last second.
 	if _, rejected := ids(l.Handle(now, turn(4, 300*time.Millisecond))); rejected == nil {
-		t.Error("a turn waits whose client leaves before it could be answered")
+		t.Error("a turn that would miss its client's timeout was queued")
 	}
 	if _, rejected := ids(l.Handle(now, turn(5, time.Second))); rejected != nil {
-		t.Error("a turn was rejected that has time")
+		t.Error("a turn that can be answered in time was rejected")
 	}
 	now = now.Add(601 * time.Millisecond)
 	if _, rejected := ids(l.Handle(now, Resized{Slots: 2})); rejected == nil || rejected.ID != 5 {
-		t.Errorf("%+v, want that the turn is given up in time", rejected)
+		t.Errorf("rejected %+v, want request 5", rejected)
 	}
 }
 
-func TestMorePlacesStartThoseWhoWait(t *testing.T) {
+func TestMoreSlotsStartWaitingRequests(t *testing.T) {
 	var l Limiter
 	l.Handle(start, laterTurn(1, time.Second))
 	l.Handle(start, laterTurn(2, time.Second))
 	l.Handle(start, Cancelled{ID: 1})
 	started, _ := ids(l.Handle(start, Resized{Slots: 4}))
 	if len(started) != 1 || started[0] != 2 {
-		t.Errorf("started %v", started)
+		t.Errorf("started %v, want request 2", started)
 	}
 }
 
-// TestRandomRequests checks over random schedules that no more than the places are
-// taken, that nobody waits while there is room, that nobody is rejected while there is
-// room, that turns are never rejected, and that all end.
+// TestRandomRequests checks over random schedules that slots are not exceeded, that no
+// request waits or is rejected while there is a free slot, that turns of programs in
+// progress without a client timeout are never rejected, and that all requests end.
 func TestRandomRequests(t *testing.T) {
 	for seed := range uint64(200) {
 		runSchedule(t, rand.New(rand.NewPCG(seed, 7)))
@@ -175,18 +175,18 @@
 	}
 }
 
-// FuzzSchedules runs the same checks over schedules that the fuzzer draws.
+// FuzzSchedules makes the same checks for schedules generated by the fuzzer.
 func FuzzSchedules(f *testing.F) {
 	f.Add(uint64(1), uint64(2))
 	f.Fuzz(func(t *testing.T, a, b uint64) { runSchedule(t, rand.New(rand.NewPCG(a, b))) })
 }
 
-// schedule is a limiter under a random sequence of events.
+// schedule runs a limiter under random events and checks its invariants.
 type schedule struct {
 	t       *testing.T
 	l       Limiter
 	now     time.Time
-	places  int
+	slots   int
 	running map[ID]bool
 	waiting map[ID]Arrived
 }
@@ -197,8 +197,8 @@
 		s.now = s.now.Add(time.Duration(r.IntN(20)) * time.Millisecond)
 		switch r.IntN(8) {
 		case 0:
-			s.places = r.IntN(12)
-			s.step(Resized{Slots: s.places})
+			s.slots = r.IntN(12)
+			s.step(Resized{Slots: s.slots})
 		case 1, 2, 3:
 			s.finish(r)
 		case 4:
@@ -217,13 +217,13 @@
 			s.step(a)
 		}
 	}
-	s.places = 4
+	s.slots = 4
 	s.step(Resized{Slots: 4})
 	for range 400 {
 		s.finish(r)
 	}
 	if len(s.waiting) > 0 || s.l.Waiting() > 0 {
-		t.Errorf("%d wait for ever", len(s.waiting))
+		t.Errorf("%d requests were never started", len(s.waiting))
 	}
 }
 
@@ -239,25 +239,25 @@
 }
 
 func (s *schedule) step(e Event) {
-	room := len(s.running) < s.places
+	free := len(s.running) < s.slots
 	for _, a := range s.l.Handle(s.now, e) {
 		switch a := a.(type) {
 		case Start:
 			if _, ok := s.waiting[a.ID]; !ok {
-				s.t.Errorf("%d was started and did not wait", a.ID)
+				s.t.Errorf("request %d was started without waiting", a.ID)
 			}
 			delete(s.waiting, a.ID)
 			s.running[a.ID] = true
-			if len(s.running) > s.places {
-				s.t.Errorf("%d run in %d places", len(s.running), s.places)
+			if len(s.running) > s.slots {
+				s.t.Errorf("%d requests run in %d slots", len(s.running), s.slots)
 			}
 		case Reject:
 			w := s.waiting[a.ID]
-			if groupOf(w) == underway && w.ClientTimeout == 0 {
-				s.t.Error("a turn was rejected whose client waits")
+			if groupOf(w) == groupInProgress && w.ClientTimeout == 0 {
+				s.t.Error("a turn without a client timeout was rejected")
 			}
-			if room && s.l.room(groupOf(w)) && len(s.waiting) == 1 && w.ClientTimeout == 0 {
-				s.t.Error("rejected while there was room and nobody waited")
+			if free && s.l.hasSlot(groupOf(w)) && len(s.waiting) == 1 && w.ClientTimeout == 0 {
+				s.t.Error("a request was rejected although a slot was free and the queue was empty")
 			}
 			delete(s.waiting, a.ID)
 		}
@@ -266,8 +266,8 @@
 		s.t.Errorf("%d run and %d wait, want %d and %d", s.l.Running(), s.l.Waiting(), len(s.running), len(s.waiting))
 	}
 	for id, w := range s.waiting {
-		if s.l.room(groupOf(w)) {
-			s.t.Errorf("%d waits while there is room", id)
+		if s.l.hasSlot(groupOf(w)) {
+			s.t.Errorf("request %d waits although a slot is free", id)
 		}
 	}
 }
--- a/rockbarrow/limiter/rate.go
+++ b/rockbarrow/limiter/rate.go
@@ -5,39 +5,40 @@
 import "time"
 
 const (
-	// rateWindow is how far back a rate looks: long enough for some events at the rates
-	// of a small instance, a few a second, and short against a burst of some seconds.
+	// rateWindow covers several events at a few per second, and is short compared with
+	// bursts of some seconds.
 	rateWindow = time.Second
-	// rateMost bounds the events that are remembered.
-	rateMost = 256
+	// maxRateEvents bounds the memory of a rate.
+	maxRateEvents = 256
 )
 
-// rate counts events of the last while. The zero value is ready.
-type rate struct{ at []time.Time }
+// slidingRate measures the rate of events over a sliding window. The zero value is ready
+// to use.
+type slidingRate struct{ events []time.Time }
 
-// add counts an event.
-func (r *rate) add(now time.Time) {
+// add records an event.
+func (r *slidingRate) add(now time.Time) {
 	r.trim(now)
-	if len(r.at) == rateMost {
-		r.at = r.at[1:]
+	if len(r.events) == maxRateEvents {
+		r.events = r.events[1:]
 	}
-	r.at = append(r.at, now)
+	r.events = append(r.events, now)
 }
 
-// perSecond returns how often events came lately.
-func (r *rate) perSecond(now time.Time) float64 {
+// perSecond returns the rate of events within the window.
+func (r *slidingRate) perSecond(now time.Time) float64 {
 	r.trim(now)
-	if len(r.at) == 0 {
+	if len(r.events) == 0 {
 		return 0
 	}
-	if len(r.at) == rateMost {
-		return rateMost / max(1e-3, now.Sub(r.at[0]).Seconds())
+	if len(r.events) == maxRateEvents {
+		return maxRateEvents / max(1e-3, now.Sub(r.events[0]).Seconds())
 	}
-	return float64(len(r.at)) / rateWindow.Seconds()
+	return float64(len(r.events)) / rateWindow.Seconds()
 }
 
-func (r *rate) trim(now time.Time) {
-	for len(r.at) > 0 && now.Sub(r.at[0]) > rateWindow {
-		r.at = r.at[1:]
+func (r *slidingRate) trim(now time.Time) {
+	for len(r.events) > 0 && now.Sub(r.events[0]) > rateWindow {
+		r.events = r.events[1:]
 	}
 }
