--- a/rockbarrow/quota/limiter.go
+++ b/rockbarrow/quota/limiter.go
@@ -16,84 +16,86 @@
 )
 
 const (
-	// updateTTL is how long the share of one piece of news may be used: four times as long as news take to come.
+	// updateTTL is how long the allowance from an update of the counts may be used: several update intervals.
 	updateTTL = 1500 * time.Millisecond
-	// shares is how many shares of different news an instance may have used before the counter hears of the first
-	// one: two before it told its count, and one after that.
-	shares = 3
-	// refundTTL is how long a request that did not run lets another one in its place.
+	// unreportedShares is how many allowances an instance may use before the counter learns of the first one: two
+	// before its report is sent, and one after that.
+	unreportedShares = 3
+	// refundTTL is how long a request that did not run allows another one in its place.
 	refundTTL = 500 * time.Millisecond
-	// refusalTTL is how long a refusal is repeated at the most without asking again.
+	// refusalTTL is how long a refusal is cached.
 	refusalTTL = 200 * time.Millisecond
 )
 
-// Ask asks a control instance to let requests in. It returns who answered, for [Limiter.Uses].
+// AdmitFunc asks a control instance to admit requests. It returns the name of the instance that replied, for
+// [Limiter.Admitted].
 type AdmitFunc func(ctx context.Context, req *fleetpb.AdmitRequest) (control string, reply *fleetpb.AdmitReply, err error)
 
-// Way is how a limiter lets requests in: [Shared], [Central], [Estimated] or [Even].
-type Mode interface{ way() }
+// Mode selects how a limiter admits requests: [Shared], [Central], [Estimated] or [Even].
+type Mode interface{ mode() }
 
-// Shared lets requests in by shares of what is left, and asks beyond that. It is what instances use.
+// Shared admits requests up to a local allowance, and asks a control instance beyond that. It is used in production.
 type Shared struct{}
 
-// Central asks for each request.
+// Central asks a control instance for each request.
 type Central struct{}
 
-// Estimated goes by the last news and what was let in since then alone, up to the limit.
+// Estimated uses only the last update and the requests admitted since, up to the limit.
 type Estimated struct{}
 
-// Even gives each instance an even share of the limit, whatever the others use.
+// Even gives each instance an even share of the limit, regardless of the others.
 type Even struct{}
 
-func (Shared) way()    {}
-func (Central) way()   {}
-func (Estimated) way() {}
-func (Even) way()      {}
+func (Shared) mode()    {}
+func (Central) mode()   {}
+func (Estimated) mode() {}
+func (Even) mode()      {}
 
-// Limiter lets requests in on an entry instance. Set the exported fields before the first call.
+// Limiter admits requests on an entry instance. Set the exported fields before the first call.
 type Limiter struct {
 	Params Params
-	// Way is how; nil is Shared.
+	// Mode defaults to Shared.
 	Mode Mode
-	// Instance names the entry instance, and Entries returns how many there are.
+	// Instance is the name of this entry instance, and EntryCount returns the number of entry instances.
 	Instance   string
 	EntryCount func() int
 	AskControl AdmitFunc
 
-	began    time.Time
+	started  time.Time
 	once     sync.Once
-	accounts sync.Map // of *account by the customer's name
-	news     atomic.Pointer[update]
+	accounts sync.Map // customer name to *account
+	latest   atomic.Pointer[countUpdate]
 }
 
-// update is what was told of all customers. It does not change.
-type update struct {
-	asked  time.Time
-	counts map[string]uint32
+// countUpdate holds the counts of all customers at a time. It is immutable.
+type countUpdate struct {
+	requestedAt time.Time
+	counts      map[string]uint32
 }
 
-// account is one customer's requests at this instance.
+// account is the state of one customer at this instance.
 type account struct {
 	mu     sync.Mutex
-	window window
-	// let counts all requests that were let in, and granted those of them that each control instance granted.
-	let     uint64
-	granted map[string]uint64
-	// share is what may be let in without asking under the news that it was made of.
-	share   int
-	sharing *update
-	// told is what these news say of the customer.
-	told float64
-	// refunds are requests that did not run, and lets others in until a time.
+	window slidingWindow
+	// admitted counts all admitted requests, and granted those of them granted by each control instance.
+	admitted uint64
+	granted  map[string]uint64
+	// allowance is how many more requests may be admitted locally under allowanceUpdate. In Estimated mode it counts
+	// the requests admitted since then.
+	allowance       int
+	allowanceUpdate *countUpdate
+	// knownCount is the customer's count in allowanceUpdate.
+	knownCount float64
+	// refunds is the number of requests that did not run; others may take their place until refundsUntil.
 	refunds      int
 	refundsUntil time.Time
-	// blocked is until when new programs, or all requests, are refused without asking.
+	// blockedNew and blockedAll are the times until which new programs, or all requests, are refused locally.
 	blockedNew, blockedAll time.Time
 }
 
-func (l *Limiter) since(now time.Time) time.Duration {
-	l.once.Do(func() { l.began = now })
-	return now.Sub(l.began)
+func (l *Limiter) elapsed(now time.Time) time.Duration {
+	l.once.Do(func() { l.started = now })
+	return now.Sub(l.started)
 }
 
 func (l *Limiter) account(customer string) *account {
@@ -104,29 +106,29 @@
 	return a.(*account)
 }
 
-// Receive takes news, which were asked for at a moment.
-func (l *Limiter) SetCounts(asked time.Time, counts []*fleetpb.CustomerCount) {
-	n := &update{asked: asked, counts: make(map[string]uint32, len(counts))}
+// SetCounts sets the counts from an update that was requested at a time.
+func (l *Limiter) SetCounts(requestedAt time.Time, counts []*fleetpb.CustomerCount) {
+	u := &countUpdate{requestedAt: requestedAt, counts: make(map[string]uint32, len(counts))}
 	for _, c := range counts {
-		n.counts[c.GetCustomer()] = c.GetRequests()
+		u.counts[c.GetCustomer()] = c.GetRequests()
 	}
-	l.news.Store(n)
+	l.latest.Store(u)
 }
 
-// Admit decides about one request of a customer.
+// Admit decides on one request of a customer.
 func (l *Limiter) Admit(ctx context.Context, now time.Time, customer *fleetpb.Customer, newProgram bool) Decision {
 	limit, ok := l.Params.limit(customer)
 	if !ok {
 		return Granted{}
 	}
 	a := l.account(customer.GetName())
-	if d := a.alone(l, now, customer.GetName(), limit, newProgram); d != nil {
+	if d := a.admitLocally(l, now, customer.GetName(), limit, newProgram); d != nil {
 		return d
 	}
 	control, reply, err := l.AskControl(ctx, &fleetpb.AdmitRequest{Customer: customer.GetName(), Requests: 1, NewProgram: newProgram})
 	switch {
 	case err != nil || reply.GetUnsure():
-		return a.evenly(l, now, customer.GetName(), limit)
+		return a.admitDisconnected(l, now, customer.GetName(), limit)
 	case reply.GetGranted():
 		a.grant(l, now, control)
 		return Granted{}
@@ -136,22 +138,21 @@
 	return Refused{RetryAfter: after}
 }
 
-// alone decides without asking, or returns nil.
-func (a *account) alone(l *Limiter, now time.Time, customer string, limit float64, newProgram bool) Decision {
+// admitLocally decides without asking a control instance, or returns nil.
+func (a *account) admitLocally(l *Limiter, now time.Time, customer string, limit float64, newProgram bool) Decision {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.refunds > 0 && now.Before(a.refundsUntil) {
-		// The request that did not run was counted.
-		a.refunds--
+		a.refunds-- // the request that did not run is already counted
 		return Granted{}
 	}
 	switch l.Mode.(type) {
 	case Central:
 		return nil
 	case Even:
-		return a.even(l, now, customer, limit)
+		return a.admitEvenly(l, now, customer, limit)
 	case Estimated:
-		return a.estimated(l, now, customer, limit)
+		return a.admitByEstimate(l, now, customer, limit)
 	}
 	blocked := a.blockedAll
 	if newProgram && a.blockedNew.After(blocked) {
@@ -160,41 +161,40 @@
 	if now.Before(blocked) {
 		return Refused{RetryAfter: blocked.Sub(now)}
 	}
-	a.refresh(l, now, customer, limit)
-	if a.share > 0 && !(newProgram && a.told >= newProgramShare*limit) {
-		a.share--
+	a.refreshAllowance(l, now, customer, limit)
+	if a.allowance > 0 && !(newProgram && a.knownCount >= newProgramShare*limit) {
+		a.allowance--
 		a.count(l, now)
 		return Granted{}
 	}
 	return nil
 }
 
-// refresh makes the share of the newest news, unless that was done; the caller holds mu.
-func (a *account) refresh(l *Limiter, now time.Time, customer string, limit float64) {
-	n := l.news.Load()
-	if n == nil || now.Sub(n.asked) > updateTTL {
-		a.share = 0
+// refreshAllowance computes the allowance from the latest update, once per update. The caller must hold mu.
+func (a *account) refreshAllowance(l *Limiter, now time.Time, customer string, limit float64) {
+	u := l.latest.Load()
+	if u == nil || now.Sub(u.requestedAt) > updateTTL {
+		a.allowance = 0
 		return
 	}
-	if a.sharing == n {
+	if a.allowanceUpdate == u {
 		return
 	}
-	a.sharing = n
-	a.told = max(float64(n.counts[customer]), toldFrom*limit)
-	bound := l.Params.bound(limit)
-	left := max(0, min(bound-a.told, l.Params.most(limit)-bound))
-	whole, part := math.Modf(left / float64(shares*max(1, l.EntryCount())))
-	a.share = int(whole)
-	if rand.Float64() < part {
-		// Of shares below one, as many instances get a whole one as make up the sum.
-		a.share++
+	a.allowanceUpdate = u
+	a.knownCount = max(float64(u.counts[customer]), reportThreshold*limit)
+	counterLimit := l.Params.counterLimit(limit)
+	left := max(0, min(counterLimit-a.knownCount, l.Params.hardLimit(limit)-counterLimit))
+	whole, fraction := math.Modf(left / float64(unreportedShares*max(1, l.EntryCount())))
+	a.allowance = int(whole)
+	if rand.Float64() < fraction {
+		a.allowance++ // random rounding keeps the expected total
 	}
 }
 
-// count notes a request that was let in; the caller holds mu.
+// count records an admitted request. The caller must hold mu.
 func (a *account) count(l *Limiter, now time.Time) {
-	a.let++
-	a.window.add(l.since(now), l.Params.Window, 1)
+	a.admitted++
+	a.window.add(l.elapsed(now), l.Params.Window, 1)
 }
 
 func (a *account) grant(l *Limiter, now time.Time, control string) {
@@ -215,49 +215,49 @@
 	}
 }
 
-// evenly decides where nobody could be asked.
-func (a *account) evenly(l *Limiter, now time.Time, customer string, limit float64) Decision {
+// admitDisconnected decides when no control instance can be reached.
+func (a *account) admitDisconnected(l *Limiter, now time.Time, customer string, limit float64) Decision {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if d, ok := a.even(l, now, customer, limit).(Granted); ok {
+	if d, ok := a.admitEvenly(l, now, customer, limit).(Granted); ok {
 		return d
 	}
 	return Unavailable{}
 }
 
-// even decides by an even share of the limit; the caller holds mu. What is left of shares by rounding off goes to
-// as many instances as make up the limit, which a hash draws.
-func (a *account) even(l *Limiter, now time.Time, customer string, limit float64) Decision {
-	whole, part := math.Modf(limit / float64(max(1, l.EntryCount())))
-	if float64(xxhash.Sum64String(l.Instance+"\x00"+customer))/math.MaxUint64 < part {
+// admitEvenly decides by an even share of the limit. A hash selects the instances whose shares are rounded up, such
+// that the shares add up to the limit on average. The caller must hold mu.
+func (a *account) admitEvenly(l *Limiter, now time.Time, customer string, limit float64) Decision {
+	whole, fraction := math.Modf(limit / float64(max(1, l.EntryCount())))
+	if float64(xxhash.Sum64String(l.Instance+"\x00"+customer))/math.MaxUint64 < fraction {
 		whole++
 	}
-	used := a.window.count(l.since(now), l.Params.Window)
+	used := a.window.count(l.elapsed(now), l.Params.Window)
 	if float64(used)+1 > whole {
-		return Refused{RetryAfter: a.window.until(l.since(now), l.Params.Window, whole-1)}
+		return Refused{RetryAfter: a.window.timeUntil(l.elapsed(now), l.Params.Window, whole-1)}
 	}
 	a.count(l, now)
 	return Granted{}
 }
 
-// estimated decides by the last news; the caller holds mu.
-func (a *account) estimated(l *Limiter, now time.Time, customer string, limit float64) Decision {
-	n := l.news.Load()
-	if n == nil {
-		return a.even(l, now, customer, limit)
+// admitByEstimate decides by the latest update. The caller must hold mu.
+func (a *account) admitByEstimate(l *Limiter, now time.Time, customer string, limit float64) Decision {
+	u := l.latest.Load()
+	if u == nil {
+		return a.admitEvenly(l, now, customer, limit)
 	}
-	if a.sharing != n {
-		a.sharing, a.told, a.share = n, float64(n.counts[customer]), 0
+	if a.allowanceUpdate != u {
+		a.allowanceUpdate, a.knownCount, a.allowance = u, float64(u.counts[customer]), 0
 	}
-	if a.told+float64(a.share)+1 > limit {
+	if a.knownCount+float64(a.allowance)+1 > limit {
 		return Refused{RetryAfter: refusalTTL}
 	}
-	a.share++
+	a.allowance++
 	a.count(l, now)
 	return Granted{}
 }
 
-// Charge counts a request that may run once more: a try at another endpoint.
+// CountRetry counts a request that may run a second time, at another endpoint.
 func (l *Limiter) CountRetry(now time.Time, customer *fleetpb.Customer) {
 	if _, ok := l.Params.limit(customer); !ok {
 		return
@@ -268,7 +268,7 @@
 	a.count(l, now)
 }
 
-// Return gives back what was granted to a request that certainly did not run, and never will.
+// Refund returns the grant of a request that has not run and will not run.
 func (l *Limiter) Refund(now time.Time, customer *fleetpb.Customer) {
 	if _, ok := l.Params.limit(customer); !ok {
 		return
@@ -283,21 +283,21 @@
 	a.refundsUntil = now.Add(refundTTL)
 }
 
-// Use is how many requests of a customer were let in.
+// AdmittedRequests is the number of admitted requests of a customer.
 type AdmittedRequests struct {
 	Customer string
 	Requests uint64
 }
 
-// Uses returns how many requests of each customer were let in since the process began, but for those that a control
-// instance granted and has counted itself.
+// Admitted returns the requests of each customer admitted since the process started, except those granted by a control
+// instance, which has counted them itself.
 func (l *Limiter) Admitted(control string) []AdmittedRequests {
-	return l.uses(func(a *account) uint64 { return a.let - a.granted[control] })
+	return l.uses(func(a *account) uint64 { return a.admitted - a.granted[control] })
 }
 
-// Recent returns how many requests of each customer were let in within the window.
+// RecentlyAdmitted returns the requests of each customer admitted within the window.
 func (l *Limiter) RecentlyAdmitted(now time.Time) []AdmittedRequests {
-	at := l.since(now)
+	at := l.elapsed(now)
 	return l.uses(func(a *account) uint64 { return uint64(a.window.count(at, l.Params.Window)) })
 }
 
--- a/rockbarrow/quota/quota.go
+++ b/rockbarrow/quota/quota.go
@@ -1,20 +1,19 @@
 // SPDX-License-Identifier: MIT
 
-// Package quota bounds the requests of customers over all entry instances together.
+// Package quota is a distributed rate limiter: it limits the requests of each customer over all entry instances.
 //
-// A customer may make so many requests in each span of time, the window: its limit. Some more may run, the overrun,
-// which is what estimates may err by. A [Counter] on each control instance counts what was let in anywhere; a [Limiter] on each
-// entry instance lets requests in.
+// A customer may make a number of requests, its limit, within each window of time. The limit may be exceeded by the
+// overrun, which allows for estimates. A [Counter] on each control instance counts the requests admitted by all entry
+// instances; a [Limiter] on each entry instance admits requests.
 //
-// The counter lets in up to the limit and a part of the overrun, as it knows. The rest of the overrun is for what it
-// does not know yet: a limiter lets in by itself, with each piece of news, an even share of a third of that rest, as it may
-// have used three such shares before the counter hears of the first one. So the sum stays below the limit with the overrun
-// whatever comes at once, but for shares of less than one request, which are drawn and make up the rest on average.
-// Beyond its share a limiter asks one control instance, the same for all limiters while all hear the same instances, and that one
-// grants requests one by one.
+// The counter admits requests up to the limit and a part of the overrun. The rest of the overrun covers requests that it
+// has not been told of: with each update of the counts, a limiter may admit an even share of a third of that rest by
+// itself, because it may use three such shares before the counter learns of the first one. The total therefore stays
+// within the limit and the overrun for any load, except that shares of less than one request are rounded randomly and
+// add up only on average. Beyond its share, a limiter asks a control instance for each request. All limiters ask the
+// same control instance while they can reach the same ones.
 //
-// What a customer has left goes to programs under way first: the first turn of a new program leaves a part of the
-// limit free, as a program that has begun is worth more than one that has not.
+// Programs in progress have priority: the first turn of a new program must leave a part of the limit free.
 package quota
 
 import (
@@ -23,23 +22,23 @@
 	"rockbarrow.dev/schema/fleetpb"
 )
 
-// Terms say how quotas are counted. They are the same for all customers.
+// Params are the parameters of all quotas.
 type Params struct {
-	// Window is the span of time over which requests are counted; zero is no quota at all.
+	// Window is the time over which requests are counted; zero disables quotas.
 	Window time.Duration
-	// Overrun and Slack are how much more than its limit may run of a customer: a part of it, and requests.
+	// Overrun, as a fraction of the limit, and Slack, in requests, are how far a limit may be exceeded.
 	Overrun, Slack float64
 }
 
 const (
-	// newProgramShare is the part of its limit up to which new programs are let in.
+	// newProgramShare is the fraction of the limit up to which new programs are admitted.
 	newProgramShare = 0.9
-	// counterShare is the part of the overrun that the counter itself may use, for the width of its buckets and the lag of
-	// what limiters tell. The rest is for the shares of limiters.
+	// counterShare is the fraction of the overrun used by the counter. It covers the width of buckets and the delay of
+	// reports. The rest is shared by the limiters.
 	counterShare = 0.3
 )
 
-// limit returns how many requests of a customer may be let in within the window, or false if there is no bound.
+// limit returns the number of requests of a customer allowed within the window, or false if there is no limit.
 func (t Params) limit(c *fleetpb.Customer) (limit float64, ok bool) {
 	if t.Window <= 0 || c.GetRequestsPerSecond() <= 0 {
 		return 0, false
@@ -47,25 +46,27 @@
 	return c.GetRequestsPerSecond()*t.Window.Seconds() + c.GetBurst(), true
 }
 
-// most returns how many requests under a limit may run at all.
-func (t Params) most(limit float64) float64 { return limit*(1+t.Overrun) + t.Slack }
+// hardLimit returns the limit including the overrun.
+func (t Params) hardLimit(limit float64) float64 { return limit*(1+t.Overrun) + t.Slack }
 
-// bound returns how many requests under a limit the counter lets in.
-func (t Params) bound(limit float64) float64 { return limit + counterShare*(t.most(limit)-limit) }
+// counterLimit returns the number of requests up to which the counter admits.
+func (t Params) counterLimit(limit float64) float64 {
+	return limit + counterShare*(t.hardLimit(limit)-limit)
+}
 
-// Decision is what becomes of requests: [Granted], [Refused] or [Unsure].
+// Decision is the result of a request for admission: [Granted], [Refused] or [Unavailable].
 type Decision interface{ decision() }
 
-// Granted says that requests are let in, and counted.
+// Granted means that the requests are admitted and counted.
 type Granted struct{}
 
-// Refused says that the customer is at its limit.
+// Refused means that the customer is at its limit.
 type Refused struct {
-	// RetryAfter is when there is likely room.
+	// RetryAfter is the time until a request is expected to be admitted.
 	RetryAfter time.Duration
 }
 
-// Unsure says that nobody who knows the counts could be asked.
+// Unavailable means that no control instance could decide.
 type Unavailable struct{}
 
 func (Granted) decision()     {}
--- a/rockbarrow/quota/quota_test.go
+++ b/rockbarrow/quota/quota_test.go
@@ -14,7 +14,7 @@
 	"rockbarrow.dev/schema/fleetpb"
 )
 
-var terms = Params{Window: 5 * time.Second, Overrun: 0.1, Slack: 20}
+var params = Params{Window: 5 * time.Second, Overrun: 0.1, Slack: 20}
 
 func customer(rate, burst float64) *fleetpb.Customer {
 	return &fleetpb.Customer{Name: "c", RequestsPerSecond: rate, Burst: burst}
@@ -25,10 +25,10 @@
 
 func newClock() *clock { return &clock{now: time.Now()} }
 
-func (c *clock) pass(d time.Duration) { c.now = c.now.Add(d) }
+func (c *clock) advance(d time.Duration) { c.now = c.now.Add(d) }
 
-func TestTheWindowSlides(t *testing.T) {
-	w := &window{}
+func TestSlidingWindow(t *testing.T) {
+	w := &slidingWindow{}
 	const span = 5 * time.Second
 	at := func(ms int) time.Duration { return time.Duration(ms) * time.Millisecond }
 	w.add(at(0), span, 3)
@@ -42,138 +42,138 @@
 			t.Errorf("after %d ms: %d, want %d", test.ms, got, test.want)
 		}
 	}
-	if got := w.until(at(2000), span, 5); got < 3*time.Second || got > 3300*time.Millisecond {
-		t.Errorf("the first ones are gone after %v", got)
+	if got := w.timeUntil(at(2000), span, 5); got < 3*time.Second || got > 3300*time.Millisecond {
+		t.Errorf("the first requests expire after %v, want 3s to 3.3s", got)
 	}
-	if got := w.until(at(2000), span, 7); got != 0 {
-		t.Errorf("there is room, and yet %v", got)
+	if got := w.timeUntil(at(2000), span, 7); got != 0 {
+		t.Errorf("the wait is %v although the count is low enough", got)
 	}
 }
 
-// TestTheCounterKeepsTheLimit: what is let in never passes the limit with the overrun in any window, and a customer that
-// asks as fast as its limit allows is never refused.
-func TestTheCounterKeepsTheLimit(t *testing.T) {
+// The admitted requests never exceed the limit and overrun in any window, and a customer that stays within its limit
+// is never refused.
+func TestCounterEnforcesTheLimit(t *testing.T) {
 	for _, c := range []*fleetpb.Customer{customer(3, 3), customer(353, 353), customer(20, 0)} {
-		limit, _ := terms.limit(c)
+		limit, _ := params.limit(c)
 		for _, modest := range []bool{false, true} {
 			k := newClock()
-			n := &Counter{Params: terms}
+			n := &Counter{Params: params}
 			n.Start(k.now)
-			k.pass(terms.Window)
-			var let []time.Time
+			k.advance(params.Window)
+			var admitted []time.Time
 			for step := range 6000 {
-				k.pass(5 * time.Millisecond)
+				k.advance(5 * time.Millisecond)
 				if modest && step%int(math.Ceil(1000/limit)) != 0 {
 					continue
 				}
 				if _, ok := n.Admit(k.now, c, 1, false).(Granted); ok {
-					let = append(let, k.now)
+					admitted = append(admitted, k.now)
 				} else if modest {
 					t.Fatalf("rate %v: refused at step %d below the limit", c.GetRequestsPerSecond(), step)
 				}
-				if recent := within(let, k.now); float64(recent) > terms.most(limit) {
-					t.Fatalf("rate %v: %d ran, at most %v may", c.GetRequestsPerSecond(), recent, terms.most(limit))
+				if recent := within(admitted, k.now); float64(recent) > params.hardLimit(limit) {
+					t.Fatalf("rate %v: %d requests admitted, want at most %v", c.GetRequestsPerSecond(), recent, params.hardLimit(limit))
 				}
 			}
 		}
 	}
 }
 
-// within counts the times of the last window.
+// within returns the number of times within the last window.
 func within(times []time.Time, now time.Time) int {
 	n := 0
-	for i := len(times) - 1; i >= 0 && now.Sub(times[i]) < terms.Window; i-- {
+	for i := len(times) - 1; i >= 0 && now.Sub(times[i]) < params.Window; i-- {
 		n++
 	}
 	return n
 }
 
-// TestNewProgramsLeaveRoom: turns of programs under way are let in when new ones are not any more.
-func TestNewProgramsLeaveRoom(t *testing.T) {
+// Turns of programs in progress are admitted when new programs are refused.
+func TestNewProgramsLeaveAReserve(t *testing.T) {
 	k := newClock()
-	n := &Counter{Params: terms}
+	n := &Counter{Params: params}
 	n.Start(k.now)
-	k.pass(terms.Window)
+	k.advance(params.Window)
 	c := customer(20, 0)
 	for range 91 {
 		n.Admit(k.now, c, 1, true)
 	}
 	if _, ok := n.Admit(k.now, c, 1, true).(Refused); !ok {
-		t.Error("a new program took what programs under way need")
+		t.Error("a new program was admitted above its share of the limit")
 	}
 	if _, ok := n.Admit(k.now, c, 1, false).(Granted); !ok {
-		t.Error("a turn of a program under way was refused below the limit")
+		t.Error("a turn of a program in progress was refused below the limit")
 	}
 }
 
-// TestARefusalTellsWhenThereIsRoom: who comes back then is let in, also when several are refused.
-func TestARefusalTellsWhenThereIsRoom(t *testing.T) {
+// Clients that retry after the given time are admitted, even if several were refused.
+func TestRetryAfterIsAdmitted(t *testing.T) {
 	k := newClock()
 	n := &Counter{Params: Params{Window: 5 * time.Second}}
 	n.Start(k.now)
-	k.pass(5 * time.Second)
+	k.advance(5 * time.Second)
 	c := customer(10, 0)
 	for range 50 {
 		n.Admit(k.now, c, 1, false)
-		k.pass(10 * time.Millisecond)
+		k.advance(10 * time.Millisecond)
 	}
-	var back []time.Duration
+	var retries []time.Duration
 	for range 5 {
 		r, ok := n.Admit(k.now, c, 1, false).(Refused)
 		if !ok {
-			t.Fatal("let in beyond the limit")
+			t.Fatal("a request was admitted beyond the limit")
 		}
-		back = append(back, r.RetryAfter)
+		retries = append(retries, r.RetryAfter)
 	}
-	begun := k.now
-	for i, after := range back {
-		k.now = begun.Add(after)
+	start := k.now
+	for i, after := range retries {
+		k.now = start.Add(after)
 		if _, ok := n.Admit(k.now, c, 1, false).(Granted); !ok {
-			t.Errorf("client %d came back after %v and was refused", i, after)
+			t.Errorf("client %d retried after %v and was refused", i, after)
 		}
 	}
 }
 
-// TestACounterThatHasJustBegunIsCareful: after a restart of all control instances, what was let in before is not known.
+// After a restart of all control instances, the requests admitted before are unknown and count as the limit.
 func TestACounterThatHasJustBegunIsCareful(t *testing.T) {
 	k := newClock()
-	n := &Counter{Params: terms}
+	n := &Counter{Params: params}
 	n.Start(k.now)
 	c := customer(353, 353)
-	limit, _ := terms.limit(c)
-	let := 0.0
+	limit, _ := params.limit(c)
+	admitted := 0.0
 	for range 4000 {
 		if _, ok := n.Admit(k.now, c, 1, false).(Granted); ok {
-			let++
+			admitted++
 		}
 	}
-	if most := terms.most(limit) - limit; let > most || let < most/4 {
-		t.Errorf("%v were let in at once, of %v that may run beyond the limit", let, most)
+	if overrun := params.hardLimit(limit) - limit; admitted > overrun || admitted < overrun/4 {
+		t.Errorf("%v requests admitted after the start, want %v to %v", admitted, overrun/4, overrun)
 	}
 }
 
-// world is a counter with limiters, joined without a network.
-type world struct {
+// cluster is a counter with limiters, connected without a network.
+type cluster struct {
 	clock    *clock
 	counter  *Counter
 	limiters []*Limiter
-	// told is what the counter heard of each limiter.
-	told []uint64
-	// apart are limiters that reach nobody.
-	apart    map[int]bool
-	customer *fleetpb.Customer
+	// reported is the number of requests each limiter has reported to the counter.
+	reported []uint64
+	// partitioned are the limiters that cannot reach the counter.
+	partitioned map[int]bool
+	customer    *fleetpb.Customer
 }
 
-func newWorld(n int, way Mode, c *fleetpb.Customer) *world {
-	w := &world{customer: c, clock: newClock(), counter: &Counter{Params: terms}, told: make([]uint64, n), apart: map[int]bool{}}
+func newCluster(n int, mode Mode, c *fleetpb.Customer) *cluster {
+	w := &cluster{customer: c, clock: newClock(), counter: &Counter{Params: params}, reported: make([]uint64, n), partitioned: map[int]bool{}}
 	w.counter.Start(w.clock.now)
-	w.clock.pass(terms.Window)
+	w.clock.advance(params.Window)
 	for i := range n {
 		w.limiters = append(w.limiters, &Limiter{
-			Params: terms, Mode: way, Instance: fmt.Sprint("e", i), EntryCount: func() int { return n },
+			Params: params, Mode: mode, Instance: fmt.Sprint("e", i), EntryCount: func() int { return n },
 			AskControl: func(_ context.Context, req *fleetpb.AdmitRequest) (string, *fleetpb.AdmitReply, error) {
-				if w.apart[i] {
-					return "", nil, errors.New("cut off")
+				if w.partitioned[i] {
+					return "", nil, errors.New("partitioned")
 				}
 				switch d := w.counter.Admit(w.clock.now, w.customer, req.GetRequests(), req.GetNewProgram()).(type) {
 				case Granted:
@@ -188,96 +188,94 @@
 	return w
 }
 
-// exchange lets a limiter tell its count and hear the news.
-func (w *world) exchange(i int) {
-	if w.apart[i] {
+// exchange sends a limiter's report to the counter and an update to the limiter.
+func (w *cluster) exchange(i int) {
+	if w.partitioned[i] {
 		return
 	}
 	for _, u := range w.limiters[i].Admitted("control") {
-		w.counter.Add(w.clock.now, []*fleetpb.CustomerUse{{Customer: u.Customer, Requests: uint32(u.Requests - w.told[i])}})
-		w.told[i] = u.Requests
+		w.counter.Add(w.clock.now, []*fleetpb.CustomerUse{{Customer: u.Customer, Requests: uint32(u.Requests - w.reported[i])}})
+		w.reported[i] = u.Requests
 	}
 	w.limiters[i].SetCounts(w.clock.now, w.counter.Counts(w.clock.now, func(string) *fleetpb.Customer { return w.customer }))
 }
 
-// newsEvery is how often a limiter in touch hears news.
-const newsEvery = 300 * time.Millisecond
+// updateInterval is the interval at which a limiter exchanges counts.
+const updateInterval = 300 * time.Millisecond
 
-// TestTheSumOfAllLimitersIsBounded: whatever comes at once at 57 instances, no more runs than may, and a customer below
-// its limit is served.
+// With 57 instances and any load, the limit and overrun are never exceeded, and a customer below its limit is served.
 func TestTheSumOfAllLimitersIsBounded(t *testing.T) {
 	const n, step = 57, 10 * time.Millisecond
 	for _, c := range []*fleetpb.Customer{customer(3, 3), customer(20, 20), customer(353, 353)} {
-		limit, _ := terms.limit(c)
+		limit, _ := params.limit(c)
 		for name, demand := range map[string]float64{"half the limit": 0.5, "all of it": 0.95, "ten times": 10} {
-			w := newWorld(n, Shared{}, c)
-			var let []time.Time
-			owed, refused := 0, 0
+			w := newCluster(n, Shared{}, c)
+			var admitted []time.Time
+			sent, refused := 0, 0
 			carry := 0.0
 			for tick := range 1500 {
-				w.clock.pass(step)
+				w.clock.advance(step)
 				for i := range n {
-					if (tick+i*7)%int(newsEvery/step) == 0 {
+					if (tick+i*7)%int(updateInterval/step) == 0 {
 						w.exchange(i)
 					}
 				}
-				for carry += demand * limit / terms.Window.Seconds() * step.Seconds(); carry >= 1; carry-- {
+				for carry += demand * limit / params.Window.Seconds() * step.Seconds(); carry >= 1; carry-- {
 					limiter := w.limiters[(tick*31+int(carry)*17)%n]
-					below := float64(within(let, w.clock.now)) < limit-1
+					below := float64(within(admitted, w.clock.now)) < limit-1
 					if _, ok := limiter.Admit(t.Context(), w.clock.now, c, false).(Granted); ok {
-						let = append(let, w.clock.now)
+						admitted = append(admitted, w.clock.now)
 					} else if below {
 						refused++
 					}
-					owed++
+					sent++
 				}
-				if ran := within(let, w.clock.now); float64(ran) > terms.most(limit) {
-					t.Fatalf("rate %v, %s: %d ran, at most %v may", c.GetRequestsPerSecond(), name, ran, terms.most(limit))
+				if recent := within(admitted, w.clock.now); float64(recent) > params.hardLimit(limit) {
+					t.Fatalf("rate %v, %s: %d requests admitted, want at most %v", c.GetRequestsPerSecond(), name, recent, params.hardLimit(limit))
 				}
 			}
 			if demand < 1 && refused > 0 {
-				t.Errorf("rate %v, %s: %d of %d refused below the limit", c.GetRequestsPerSecond(), name, refused, owed)
+				t.Errorf("rate %v, %s: %d of %d refused below the limit", c.GetRequestsPerSecond(), name, refused, sent)
 			}
 		}
 	}
 }
 
-// TestACutOffInstanceKeepsToItsShare: limiters that reach nobody let in even shares of the limit together, and say that they
-// are not sure beyond that.
-func TestACutOffInstanceKeepsToItsShare(t *testing.T) {
+// Limiters that cannot reach a control instance admit even shares of the limit, and report Unavailable beyond that.
+func TestPartitionedLimitersUseEvenShares(t *testing.T) {
 	const n = 57
 	for _, c := range []*fleetpb.Customer{customer(3, 3), customer(353, 353)} {
-		limit, _ := terms.limit(c)
-		w := newWorld(n, Shared{}, c)
-		let := 0
+		limit, _ := params.limit(c)
+		w := newCluster(n, Shared{}, c)
+		admitted := 0
 		for i, limiter := range w.limiters {
-			w.apart[i] = true
+			w.partitioned[i] = true
 			for range 200 {
 				switch limiter.Admit(t.Context(), w.clock.now, c, false).(type) {
 				case Granted:
-					let++
+					admitted++
 				case Refused:
-					t.Fatal("an instance that is cut off promised that the limit is reached")
+					t.Fatal("a partitioned limiter reported that the limit is reached")
 				}
 			}
 		}
-		if float64(let) > terms.most(limit) || float64(let) < limit/2 {
-			t.Errorf("rate %v: %d were let in by all together, the limit is %v", c.GetRequestsPerSecond(), let, limit)
+		if float64(admitted) > params.hardLimit(limit) || float64(admitted) < limit/2 {
+			t.Errorf("rate %v: %d requests admitted by all limiters, the limit is %v", c.GetRequestsPerSecond(), admitted, limit)
 		}
 	}
 }
 
-// lone is a limiter whose questions are counted and answered by a function.
-type lone struct {
+// stubLimiter is a limiter that counts its requests to control instances, which are answered by a function.
+type stubLimiter struct {
 	*Limiter
 	asked int
 }
 
-func newLone(answer func(*fleetpb.AdmitRequest) *fleetpb.AdmitReply) *lone {
-	l := &lone{}
-	l.Limiter = &Limiter{Params: terms, Instance: "e", EntryCount: func() int { return 1 }, AskControl: func(_ context.Context, req *fleetpb.AdmitRequest) (string, *fleetpb.AdmitReply, error) {
+func newStubLimiter(reply func(*fleetpb.AdmitRequest) *fleetpb.AdmitReply) *stubLimiter {
+	l := &stubLimiter{}
+	l.Limiter = &Limiter{Params: params, Instance: "e", EntryCount: func() int { return 1 }, AskControl: func(_ context.Context, req *fleetpb.AdmitRequest) (string, *fleetpb.AdmitReply, error) {
 		l.asked++
-		return "control", answer(req), nil
+		return "control", reply(req), nil
 	}}
 	return l
 }
@@ -288,79 +286,79 @@
 	return &fleetpb.AdmitReply{RetryAfterMs: 5000}
 }
 
-// TestOldNewsGiveNoShares: an instance that hears nothing any more asks for each request.
-func TestOldNewsGiveNoShares(t *testing.T) {
-	k, l, c := newClock(), newLone(granted), customer(353, 353)
+// A limiter that receives no updates must ask for each request.
+func TestExpiredUpdateGivesNoAllowance(t *testing.T) {
+	k, l, c := newClock(), newStubLimiter(granted), customer(353, 353)
 	l.SetCounts(k.now, nil)
 	l.Admit(t.Context(), k.now, c, false)
 	if l.asked != 0 {
-		t.Fatal("fresh news gave no share")
+		t.Fatal("a fresh update gave no allowance")
 	}
-	k.pass(updateTTL + time.Millisecond)
+	k.advance(updateTTL + time.Millisecond)
 	l.Admit(t.Context(), k.now, c, false)
 	if l.asked != 1 {
-		t.Errorf("%d questions under old news", l.asked)
+		t.Errorf("asked %d times after the update expired, want 1", l.asked)
 	}
 }
 
-// TestNewProgramsHaveNoSharesNearTheLimit: whether there is room for one is for who counts all.
-func TestNewProgramsHaveNoSharesNearTheLimit(t *testing.T) {
-	k, l, c := newClock(), newLone(granted), customer(353, 353)
-	limit, _ := terms.limit(c)
+// Near the limit, only a control instance may admit new programs.
+func TestNewProgramsHaveNoAllowanceNearTheLimit(t *testing.T) {
+	k, l, c := newClock(), newStubLimiter(granted), customer(353, 353)
+	limit, _ := params.limit(c)
 	l.SetCounts(k.now, []*fleetpb.CustomerCount{{Customer: "c", Requests: uint32(0.95 * limit)}})
 	l.Admit(t.Context(), k.now, c, false)
 	if l.asked != 0 {
-		t.Fatal("a turn of a program under way had no share")
+		t.Fatal("a turn of a program in progress had no allowance")
 	}
 	l.Admit(t.Context(), k.now, c, true)
 	if l.asked != 1 {
-		t.Errorf("%d questions for a new program near the limit", l.asked)
+		t.Errorf("asked %d times for a new program near the limit, want 1", l.asked)
 	}
 }
 
-// TestARefusalIsRepeatedForAWhile: without another question, and a new program's says nothing of programs under way.
-func TestARefusalIsRepeatedForAWhile(t *testing.T) {
+// A refusal is cached for refusalTTL. That of a new program does not apply to programs in progress.
+func TestRefusalIsCached(t *testing.T) {
 	for _, newProgram := range []bool{true, false} {
-		k, l, c := newClock(), newLone(refused), customer(3, 3)
+		k, l, c := newClock(), newStubLimiter(refused), customer(3, 3)
 		if r, ok := l.Admit(t.Context(), k.now, c, newProgram).(Refused); !ok || r.RetryAfter != 5*time.Second {
-			t.Errorf("refused with %+v", r)
+			t.Errorf("decision %+v, want a refusal for 5s", r)
 		}
-		k.pass(refusalTTL / 2)
+		k.advance(refusalTTL / 2)
 		if _, ok := l.Admit(t.Context(), k.now, c, newProgram).(Refused); !ok || l.asked != 1 {
-			t.Errorf("new %v: %d questions after a refusal", newProgram, l.asked)
+			t.Errorf("new program %v: asked %d times after a refusal, want 1", newProgram, l.asked)
 		}
 		l.Admit(t.Context(), k.now, c, !newProgram)
 		if want := map[bool]int{true: 2, false: 1}[newProgram]; l.asked != want {
-			t.Errorf("new %v: %d questions with one of the other kind, want %d", newProgram, l.asked, want)
+			t.Errorf("new program %v: asked %d times after a request of the other kind, want %d", newProgram, l.asked, want)
 		}
-		k.pass(refusalTTL)
+		k.advance(refusalTTL)
 		l.Admit(t.Context(), k.now, c, newProgram)
 		if want := map[bool]int{true: 3, false: 2}[newProgram]; l.asked != want {
-			t.Errorf("new %v: %d questions once the refusal is over, want %d", newProgram, l.asked, want)
+			t.Errorf("new program %v: asked %d times after the refusal expired, want %d", newProgram, l.asked, want)
 		}
 	}
 }
 
-// TestWhatIsGivenBackLastsShortly: it lets one request in, and none later than the window allows to.
-func TestWhatIsGivenBackLastsShortly(t *testing.T) {
-	k, l, c := newClock(), newLone(refused), customer(3, 3)
+// A refund admits one request, and expires after refundTTL.
+func TestRefundExpires(t *testing.T) {
+	k, l, c := newClock(), newStubLimiter(refused), customer(3, 3)
 	l.Refund(k.now, c)
 	if _, ok := l.Admit(t.Context(), k.now, c, false).(Granted); !ok || l.asked != 0 {
-		t.Error("what was given back lets nobody in")
+		t.Error("a refund did not admit a request")
 	}
 	if _, ok := l.Admit(t.Context(), k.now, c, false).(Refused); !ok {
-		t.Error("it lets two in")
+		t.Error("a refund admitted two requests")
 	}
 	l.Refund(k.now, c)
-	k.pass(refundTTL)
+	k.advance(refundTTL)
 	if _, ok := l.Admit(t.Context(), k.now, c, false).(Refused); !ok {
-		t.Error("it lets somebody in late")
+		t.Error("an expired refund admitted a request")
 	}
 }
 
-// BenchmarkAdmit is a request's part where nobody is asked, of 1,000 customers.
+// BenchmarkAdmit measures a local decision for one of 1,000 customers.
 func BenchmarkAdmit(b *testing.B) {
-	limiter := &Limiter{Params: terms, Mode: Even{}, Instance: "e", EntryCount: func() int { return 1 }}
+	limiter := &Limiter{Params: params, Mode: Even{}, Instance: "e", EntryCount: func() int { return 1 }}
 	var all []*fleetpb.Customer
 	for i := range 1000 {
 		all = append(all, &fleetpb.Customer{Name: fmt.Sprint("c", i), RequestsPerSecond: 1e8, Burst: 1})
--- a/rockbarrow/quota/window.go
+++ b/rockbarrow/quota/window.go
@@ -4,24 +4,24 @@
 
 import "time"
 
-// buckets is how many parts a window has. A count is late by one of them at the most.
+// buckets is the number of buckets in a window. Requests expire with a delay of at most one bucket.
 const buckets = 100
 
-// window counts requests over the last span of time. The zero value is ready.
-type window struct {
-	// counts are those of the last buckets, one more than the window has, each at its number modulo their length.
+// slidingWindow counts requests over a sliding window of time. The zero value is ready to use.
+type slidingWindow struct {
+	// counts is a ring of the newest buckets, indexed by bucket number; one more than a window has.
 	counts [buckets + 1]uint32
-	// last is the number of the newest bucket, sum that of all counts.
+	// last is the number of the newest bucket, and sum the total of all counts.
 	last int64
 	sum  uint32
 }
 
-// number returns the bucket of a time since some beginning.
-func number(at, span time.Duration) int64 { return int64(at / (span / buckets)) }
+// bucketNumber returns the number of the bucket for a time since a common origin.
+func bucketNumber(at, span time.Duration) int64 { return int64(at / (span / buckets)) }
 
-// advance drops what is older than the window.
-func (w *window) advance(at, span time.Duration) {
-	n := number(at, span)
+// advance removes buckets older than the window.
+func (w *slidingWindow) advance(at, span time.Duration) {
+	n := bucketNumber(at, span)
 	if n-w.last > buckets {
 		w.counts, w.sum, w.last = [buckets + 1]uint32{}, 0, n
 		return
@@ -35,20 +35,20 @@
 }
 
 // add counts requests.
-func (w *window) add(at, span time.Duration, n uint32) {
+func (w *slidingWindow) add(at, span time.Duration, n uint32) {
 	w.advance(at, span)
 	w.counts[w.last%(buckets+1)] += n
 	w.sum += n
 }
 
 // count returns the requests within the window.
-func (w *window) count(at, span time.Duration) uint32 {
+func (w *slidingWindow) count(at, span time.Duration) uint32 {
 	w.advance(at, span)
 	return w.sum
 }
 
-// until returns how long it takes until no more than so many of the requests of now are left.
-func (w *window) until(at, span time.Duration, left float64) time.Duration {
+// timeUntil returns the time until enough requests have expired for at most left of them to remain.
+func (w *slidingWindow) timeUntil(at, span time.Duration, left float64) time.Duration {
 	w.advance(at, span)
 	sum := float64(w.sum)
 	for age := int64(buckets); age >= 0 && sum > left; age-- {
