--- a/rockbarrow/lease/lease.go
+++ b/rockbarrow/lease/lease.go
@@ -1,34 +1,34 @@
 // SPDX-License-Identifier: MIT
 
-// Package lease bounds how long an instance may go by the keys that it knows.
+// Package lease bounds the time for which an instance may trust the keys that it knows.
 //
-// A key that an operator took away must not let any request in that a client sends a while after the operator had the
-// acknowledgement: the revocation bound. Instances that are cut off, frozen or slow don't hear of it, so what they
-// know counts for a time only, the lease, which is renewed while they are in touch.
+// The revocation bound is the time after the acknowledgement of a revocation from which on no request may be admitted
+// by the revoked key. Instances that are partitioned, suspended or slow do not learn of the revocation. An instance
+// therefore trusts its keys only for the duration of a lease, which control instances renew.
 //
-// What holds. Let T be when the operator has the acknowledgement of a configuration, which is after a majority of the
-// voters has it on their disks.
+// Correctness. Let T be the time at which the operator receives the acknowledgement of a configuration, which is after a
+// majority of the voters have persisted it.
 //
-//   - A control instance asks each voter for the number of the newest state that it has accepted; the answer counts
-//     from when it was asked. If a majority of the voters of a state has accepted none with a higher number, no newer
-//     state was chosen by the earliest of these moments, c: a newer one has a majority, which shares a voter with the
-//     one that was asked, and an acceptor's number never falls below that of a chosen state. So T > c for each
-//     configuration that is newer.
-//   - The control instance tells the age of c at its reply. An entry instance that asked at a, before that reply,
-//     counts c as a less the age, which is no later than c was. An answer that lags, or comes twice, renews nothing.
-//   - A request is let in at a time t < c + Within, by a table that holds the configuration of that state or a newer one.
-//     For each newer configuration t < T + Within, and the client sent it before t.
-//   - So with Within less than the revocation bound, by as much as two steady clocks drift apart in that time, no
-//     request that was sent later than T and the bound runs under a key that was taken away.
+//   - A control instance asks each voter for the number of the newest state that it has accepted. The reply is valid as of
+//     the time of the request. If a majority of the voters of a state have accepted no higher number, no newer state
+//     was chosen before the earliest of these times, c: a newer state needs a majority, any two majorities intersect,
+//     and the number accepted by a voter never decreases below that of a chosen state. So T > c for each newer
+//     configuration.
+//   - The control instance sends the age of c with its reply. An entry instance that sent its request at time a, before
+//     that reply, takes a minus the age for c, which is no later than the actual c. Delayed and duplicate replies
+//     therefore renew nothing.
+//   - A request is admitted at a time t < c + TTL, by a routing table with the configuration of that state or a newer one.
+//     So t < T + TTL for each newer configuration, and the client sent the request before t.
+//   - If the TTL is shorter than the revocation bound by at least the clock drift in that time, no request that is sent
+//     after T plus the revocation bound is admitted by a revoked key.
 //
-// All of these times are of steady clocks; the time of day has no part. An instance that is frozen looks at its clock
-// after it wakes. A control instance behind a cut, or in a minority, hears no majority: its c gets older, and so do all
-// leases that rest on it.
+// All times are from monotonic clocks. A suspended instance reads its clock after it resumes. A control instance that is
+// partitioned or in a minority gets no replies from a majority, so its c ages and the leases based on it expire.
 //
-// How it pays. Calls are held for 0.3 s and may take 0.25 s more, so that by arithmetic c is at most some 0.6 s old when a
-// control instance replies, and the entry instance's question as old when the next one is answered. An instance that
-// loses control keeps its lease for Within less 1.2 s, which has to be longer than 0.6 of the revocation bound: as long
-// are clients owed an answer.
+// Availability. Long polls are held for 0.3 s and take up to 0.25 s more, so that c is at most 0.6 s old when a control
+// instance replies, and the request of the entry instance as old when the next reply arrives. An instance that loses
+// its control instances keeps its lease for at least the TTL minus 1.2 s. This must exceed 0.6 of the revocation bound,
+// during which clients must still be served.
 package lease
 
 import (
@@ -37,37 +37,37 @@
 	"time"
 )
 
-// drift is how far apart the steady clocks of two instances may come within a lease, with a margin.
-const drift = 200 * time.Millisecond
+// maxClockDrift bounds how far the monotonic clocks of two instances drift apart during a lease.
+const maxClockDrift = 200 * time.Millisecond
 
-// Within returns how long a lease may be under a revocation bound, zero for ever if there is no bound.
+// TTL returns the duration of a lease for a revocation bound. Zero means no bound, and a lease that does not expire.
 func TTL(bound time.Duration) time.Duration {
 	if bound <= 0 {
 		return 0
 	}
-	return max(time.Millisecond, bound-drift)
+	return max(time.Millisecond, bound-maxClockDrift)
 }
 
-// maxPending bounds the confirmations that wait for their table. Versions come a few a second at the most, and a table
-// some tens of milliseconds after its version.
+// maxPending bounds the confirmations kept for tables that have not arrived yet. There are at most a few versions per
+// second, and a table arrives tens of milliseconds after its version.
 const maxPending = 16
 
-// confirmation says that no configuration newer than a version was acknowledged by a moment.
+// confirmation states that no configuration newer than version was acknowledged before at.
 type confirmation struct {
 	version uint64
 	at      time.Time
 }
 
-// Lease is what one instance may go by. Set the exported field before the first call.
+// Lease is the lease of one instance on its keys. Set the exported field before the first call.
 type Lease struct {
-	// Within is how long it lasts after the moment of a confirmation. Zero is for ever.
+	// TTL is the duration of the lease from the time of a confirmation. Zero means that it does not expire.
 	TTL time.Duration
 
-	// confirmed are ordered by version and by moment: of two, the one of the newer version is also the later one.
+	// confirmed is sorted by version and by time: both increase.
 	confirmed atomic.Pointer[[]confirmation]
 }
 
-// Confirm notes that no configuration newer than a version was acknowledged by a moment.
+// Confirm records that no configuration newer than a version was acknowledged before a time.
 func (l *Lease) Confirm(version uint64, at time.Time) {
 	for {
 		old := l.confirmed.Load()
@@ -75,15 +75,16 @@
 		if old != nil {
 			list = *old
 		}
-		next, changed := with(list, confirmation{version: version, at: at})
+		next, changed := addConfirmation(list, confirmation{version: version, at: at})
 		if !changed || l.confirmed.CompareAndSwap(old, &next) {
 			return
 		}
 	}
 }
 
-// with adds a confirmation, and leaves out those that tell less than others.
-func with(list []confirmation, c confirmation) (next []confirmation, changed bool) {
+// addConfirmation returns the list with a confirmation added, without those that are implied by others. It reports
+// whether the list has changed.
+func addConfirmation(list []confirmation, c confirmation) (next []confirmation, changed bool) {
 	for _, o := range list {
 		if o.version <= c.version && !o.at.Before(c.at) {
 			return list, false
@@ -102,8 +103,8 @@
 	return next[max(0, len(next)-maxPending):], true
 }
 
-// at returns the latest moment by which a table is known to be the newest, and whether there is one.
-func (l *Lease) at(version uint64) (time.Time, bool) {
+// confirmedAt returns the latest time at which a table's version was confirmed to be the newest, if there is one.
+func (l *Lease) confirmedAt(version uint64) (time.Time, bool) {
 	list := l.confirmed.Load()
 	if list == nil {
 		return time.Time{}, false
@@ -116,7 +117,7 @@
 	return time.Time{}, false
 }
 
-// Holds reports whether keys of a table of a version let requests in.
+// Valid reports whether requests may be admitted by the keys of a table of a version.
 func (l *Lease) Valid(now time.Time, version uint64) bool {
 	if l.TTL == 0 {
 		return true
@@ -124,11 +125,11 @@
 	return l.WasNewestWithin(now, version, l.TTL)
 }
 
-// Newest reports whether a table of a version was the newest one so lately.
-func (l *Lease) WasNewestWithin(now time.Time, version uint64, within time.Duration) bool {
-	at, ok := l.at(version)
-	return ok && now.Sub(at) < within
+// WasNewestWithin reports whether a table's version was confirmed to be the newest less than maxAge ago.
+func (l *Lease) WasNewestWithin(now time.Time, version uint64, maxAge time.Duration) bool {
+	at, ok := l.confirmedAt(version)
+	return ok && now.Sub(at) < maxAge
 }
 
-// Unconfirmed reports whether nothing was confirmed yet although keys need it, as after a start.
+// Unconfirmed reports whether the lease expires and has had no confirmation yet, as after a start.
 func (l *Lease) Unconfirmed() bool { return l.TTL > 0 && l.confirmed.Load() == nil }
--- a/rockbarrow/lease/model_test.go
+++ b/rockbarrow/lease/model_test.go
@@ -13,9 +13,9 @@
 	"rockbarrow.dev/schema/fleetpb"
 )
 
-// The model: control instances vote on configurations by the real rounds, tell each other what they have accepted and
-// confirm versions to entry instances, over messages that are delayed, lost and sent twice, while instances are cut
-// off, frozen and woken, voters change and operators race. It runs in simulated time.
+// The model simulates control instances that agree on configurations by the register package, exchange the numbers of
+// accepted states, and confirm versions to entry instances. Messages are delayed, lost and duplicated, instances are
+// partitioned and suspended, voters change, and proposals are concurrent.
 
 const (
 	modelControl = 7
@@ -27,42 +27,42 @@
 	modelSteps = 3000
 )
 
-// term is a term of the invariant that a run of the model leaves out.
-type term int
+// mutation is a deliberate violation of one condition in the package comment.
+type mutation int
 
 const (
-	nothing term = iota
-	// countFromAnswers: an answer of a voter counts from its arrival.
-	countFromAnswers
-	// oneVoter: one's own vote is enough.
+	noMutation mutation = iota
+	// countFromVoterReply: a voter's reply is valid as of its arrival.
+	countFromVoterReply
+	// oneVoter: a single voter suffices.
 	oneVoter
-	// anyNumber: a voter that has accepted something newer counts too.
+	// anyNumber: voters that have accepted a newer state count, too.
 	anyNumber
-	// countFromReplies: a confirmation counts from its arrival.
-	countFromReplies
-	// withoutAge: the age of what a control instance has heard is left out.
+	// countFromConfirmation: a confirmation is valid as of its arrival.
+	countFromConfirmation
+	// withoutAge: the age of the voters' replies is ignored.
 	withoutAge
-	// anyTable: the lease does not rest on the table in force.
+	// anyTable: the lease does not depend on the table version.
 	anyTable
-	// noBound: the lease is longer than the bound.
-	noBound
+	// longLease: the lease is longer than the revocation bound.
+	longLease
 )
 
-var terms = []term{countFromAnswers, oneVoter, anyNumber, countFromReplies, withoutAge, anyTable, noBound}
+var mutations = []mutation{countFromVoterReply, oneVoter, anyNumber, countFromConfirmation, withoutAge, anyTable, longLease}
 
-// message is something that arrives at an instance at a time.
+// message is delivered to an instance at a time.
 type message struct {
-	to   int
-	at   time.Time
-	take func()
+	to      int
+	at      time.Time
+	deliver func()
 }
 
 type controlModel struct {
 	acceptor register.Acceptor
 	known    *fleetpb.State
-	votes    VoterStates
+	voters   VoterStates
 	round    *register.Round
-	began    time.Time
+	started  time.Time
 }
 
 type entryModel struct {
@@ -71,29 +71,30 @@
 }
 
 type model struct {
-	r     *rand.Rand
-	out   term
-	begun time.Time
-	now   time.Time
-	queue []message
-	// side is where an instance is while there is a cut; frozen is until when it stands still.
-	side    []int
-	frozen  []time.Time
-	control []*controlModel
-	entries []*entryModel
-	ballots uint64
-	// acked is when each version was acknowledged first.
+	r        *rand.Rand
+	mutation mutation
+	started  time.Time
+	now      time.Time
+	queue    []message
+	// partition is the side of each instance during a network partition.
+	partition []int
+	// suspendedUntil is when each instance runs again.
+	suspendedUntil []time.Time
+	control        []*controlModel
+	entries        []*entryModel
+	ballots        uint64
+	// acked is when each version was first acknowledged.
 	acked map[uint64]time.Time
-	// held counts the checks in which a lease held.
-	held int
+	// valid counts the checks in which a lease was valid.
+	valid int
 }
 
-func newModel(seed uint64, out term) *model {
+func newModel(seed uint64, mut mutation) *model {
 	m := &model{
-		r: rand.New(rand.NewPCG(seed, 7)), out: out, begun: time.Now(), acked: map[uint64]time.Time{},
-		side: make([]int, modelControl+modelEntries), frozen: make([]time.Time, modelControl+modelEntries),
+		r: rand.New(rand.NewPCG(seed, 7)), mutation: mut, started: time.Now(), acked: map[uint64]time.Time{},
+		partition: make([]int, modelControl+modelEntries), suspendedUntil: make([]time.Time, modelControl+modelEntries),
 	}
-	m.now = m.begun
+	m.now = m.started
 	first := &fleetpb.State{Number: 1, Configuration: &fleetpb.Configuration{Version: 1}}
 	for i := range modelVoters {
 		first.Voters = append(first.Voters, member(i))
@@ -106,12 +107,12 @@
 		m.control = append(m.control, c)
 	}
 	m.ballots = 1
-	within := TTL(modelBound)
-	if out == noBound {
-		within = 2 * modelBound
+	ttl := TTL(modelBound)
+	if mut == longLease {
+		ttl = 2 * modelBound
 	}
 	for range modelEntries {
-		m.entries = append(m.entries, &entryModel{table: 1, lease: Lease{TTL: within}})
+		m.entries = append(m.entries, &entryModel{table: 1, lease: Lease{TTL: ttl}})
 	}
 	return m
 }
@@ -122,9 +123,9 @@
 	return &fleetpb.Member{Instance: fmt.Sprint("c", i), Storage: storage(i)}
 }
 
-// send delivers a message after a drawn time, perhaps twice or never.
-func (m *model) send(from, to int, take func()) {
-	if m.side[from] != m.side[to] || m.r.IntN(20) == 0 {
+// send delivers a message after a random delay, and may lose or duplicate it.
+func (m *model) send(from, to int, deliver func()) {
+	if m.partition[from] != m.partition[to] || m.r.IntN(20) == 0 {
 		return
 	}
 	copies := 1
@@ -136,48 +137,49 @@
 		if m.r.IntN(10) == 0 {
 			delay = time.Duration(m.r.IntN(3000)) * time.Millisecond
 		}
-		m.queue = append(m.queue, message{to: to, at: m.now.Add(delay), take: take})
+		m.queue = append(m.queue, message{to: to, at: m.now.Add(delay), deliver: deliver})
 	}
 }
 
-// run plays the model and returns what was wrong, or "".
+// run runs the simulation. It returns a description of the first violation, or "".
 func (m *model) run() string {
 	for range modelSteps {
 		m.now = m.now.Add(modelStep)
-		m.disturb()
+		m.injectFaults()
 		m.deliver()
 		for i := range m.control {
-			if m.runs(i) {
+			if m.isRunning(i) {
 				m.stepControl(i)
 			}
 		}
 		for i := range m.entries {
-			if m.runs(modelControl + i) {
+			if m.isRunning(modelControl + i) {
 				m.stepEntry(i)
 			}
 		}
-		if wrong := m.check(); wrong != "" {
-			return wrong
+		if violation := m.check(); violation != "" {
+			return violation
 		}
 	}
 	return ""
 }
 
-func (m *model) runs(i int) bool { return !m.now.Before(m.frozen[i]) }
+func (m *model) isRunning(i int) bool { return !m.now.Before(m.suspendedUntil[i]) }
 
-func (m *model) disturb() {
+// injectFaults randomly starts and ends network partitions, and suspends instances.
+func (m *model) injectFaults() {
 	if m.r.IntN(100) == 0 {
-		for i := range m.side {
-			m.side[i] = 0
+		for i := range m.partition {
+			m.partition[i] = 0
 		}
 		if m.r.IntN(2) == 0 {
-			for i := range m.side {
-				m.side[i] = m.r.IntN(2)
+			for i := range m.partition {
+				m.partition[i] = m.r.IntN(2)
 			}
 		}
 	}
 	if m.r.IntN(60) == 0 {
-		m.frozen[m.r.IntN(len(m.frozen))] = m.now.Add(time.Duration(m.r.IntN(3000)) * time.Millisecond)
+		m.suspendedUntil[m.r.IntN(len(m.suspendedUntil))] = m.now.Add(time.Duration(m.r.IntN(3000)) * time.Millisecond)
 	}
 }
 
@@ -185,25 +187,25 @@
 	due := m.queue
 	m.queue = nil
 	for _, msg := range due {
-		if msg.at.After(m.now) || !m.runs(msg.to) {
+		if msg.at.After(m.now) || !m.isRunning(msg.to) {
 			m.queue = append(m.queue, msg)
 			continue
 		}
-		msg.take()
+		msg.deliver()
 	}
 }
 
-// stepControl asks another control instance what it has accepted, and perhaps begins a round.
+// stepControl may ask another control instance for its accepted state, and may start a round.
 func (m *model) stepControl(i int) {
 	c := m.control[i]
 	if m.r.IntN(3) == 0 {
 		m.askAccepted(i, m.r.IntN(modelControl))
 	}
-	if c.round != nil && m.now.Sub(c.began) > 300*time.Millisecond {
+	if c.round != nil && m.now.Sub(c.started) > 300*time.Millisecond {
 		c.round = nil
 	}
 	if c.round == nil && m.r.IntN(60) == 0 {
-		m.begin(i)
+		m.startRound(i)
 	}
 }
 
@@ -211,17 +213,17 @@
 	if i == j {
 		return
 	}
-	asked := m.now
+	askedAt := m.now
 	m.send(i, j, func() {
 		number, known := m.control[j].acceptor.Record().GetState().GetNumber(), m.control[j].known
-		if m.out == anyNumber {
+		if m.mutation == anyNumber {
 			number = 0
 		}
 		m.send(j, i, func() {
-			if m.out == countFromAnswers {
-				asked = m.now
+			if m.mutation == countFromVoterReply {
+				askedAt = m.now
 			}
-			m.control[i].votes.Record(storage(j), number, asked)
+			m.control[i].voters.Record(storage(j), number, askedAt)
 			m.learn(i, known)
 		})
 	})
@@ -233,13 +235,13 @@
 	}
 }
 
-// begin starts a round that brings another configuration or other voters into force.
-func (m *model) begin(i int) {
+// startRound starts a round that changes the configuration or the voters.
+func (m *model) startRound(i int) {
 	m.ballots++
 	c := m.control[i]
 	c.round = &register.Round{Ballot: &fleetpb.Ballot{Round: m.ballots, Proposer: storage(i)}, Known: c.known, Change: m.change}
-	c.began = m.now
-	m.carry(i, c.round, c.round.Handle(register.Begin{}))
+	c.started = m.now
+	m.perform(i, c.round, c.round.Handle(register.Begin{}))
 }
 
 func (m *model) change(s *fleetpb.State) *fleetpb.State {
@@ -258,18 +260,18 @@
 	return s
 }
 
-func (m *model) carry(i int, round *register.Round, actions []register.Action) {
+func (m *model) perform(i int, round *register.Round, actions []register.Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case register.Prepare:
 			j := int(a.To.GetStorage()) - 1
-			m.carryTo(i, j, round, func() register.Event {
+			m.call(i, j, round, func() register.Event {
 				reply, _ := m.control[j].acceptor.Prepare(a.Request)
 				return register.Prepared{From: storage(j), Reply: reply}
 			})
 		case register.Accept:
 			j := int(a.To.GetStorage()) - 1
-			m.carryTo(i, j, round, func() register.Event {
+			m.call(i, j, round, func() register.Event {
 				reply, _ := m.control[j].acceptor.Accept(a.Request)
 				return register.Accepted{From: storage(j), Reply: reply}
 			})
@@ -282,107 +284,109 @@
 	}
 }
 
-func (m *model) carryTo(i, j int, round *register.Round, handle func() register.Event) {
-	back := func(e register.Event) {
+// call runs handle at control instance j and passes the resulting event to the round at i.
+func (m *model) call(i, j int, round *register.Round, handle func() register.Event) {
+	reply := func(e register.Event) {
 		if m.control[i].round == round {
-			m.carry(i, round, round.Handle(e))
+			m.perform(i, round, round.Handle(e))
 		}
 	}
 	if i == j {
 		e := handle()
-		m.queue = append(m.queue, message{to: i, at: m.now, take: func() { back(e) }})
+		m.queue = append(m.queue, message{to: i, at: m.now, deliver: func() { reply(e) }})
 		return
 	}
 	m.send(i, j, func() {
 		e := handle()
-		m.send(j, i, func() { back(e) })
+		m.send(j, i, func() { reply(e) })
 	})
 }
 
-// stepEntry asks a control instance for news.
+// stepEntry may ask a control instance for updates.
 func (m *model) stepEntry(i int) {
 	if m.r.IntN(5) != 0 {
 		return
 	}
-	e, from, j, asked := m.entries[i], modelControl+i, m.r.IntN(modelControl), m.now
+	e, from, j, askedAt := m.entries[i], modelControl+i, m.r.IntN(modelControl), m.now
 	m.send(from, j, func() {
 		c := m.control[j]
 		s := c.known
-		c.votes.Record(storage(j), c.acceptor.Record().GetState().GetNumber(), m.now)
-		at, ok := c.votes.ConfirmedAt(s)
-		if m.out == oneVoter {
+		c.voters.Record(storage(j), c.acceptor.Record().GetState().GetNumber(), m.now)
+		at, ok := c.voters.ConfirmedAt(s)
+		if m.mutation == oneVoter {
 			at, ok = m.now, true
 		}
 		age := m.now.Sub(at)
 		m.send(j, from, func() {
-			if m.out == countFromReplies {
-				asked = m.now
+			if m.mutation == countFromConfirmation {
+				askedAt = m.now
 			}
-			if m.out == withoutAge {
+			if m.mutation == withoutAge {
 				age = 0
 			}
 			version := s.GetConfiguration().GetVersion()
 			if m.r.IntN(3) > 0 {
-				// A table comes by a message of its own, and may come late.
+				// Tables are sent separately and may arrive later.
 				e.table = max(e.table, version)
 			}
-			if m.out == anyTable {
+			if m.mutation == anyTable {
 				version = 0
 			}
 			if ok {
-				e.lease.Confirm(version, asked.Add(-age))
+				e.lease.Confirm(version, askedAt.Add(-age))
 			}
 		})
 	})
 }
 
-// check compares what each entry instance would let in with what was acknowledged.
+// check verifies that no entry instance with a valid lease uses a table that was superseded longer than the bound ago.
 func (m *model) check() string {
 	for i, e := range m.entries {
-		if !m.runs(modelControl+i) || !e.lease.Valid(m.now, e.table) {
+		if !m.isRunning(modelControl+i) || !e.lease.Valid(m.now, e.table) {
 			continue
 		}
-		m.held++
+		m.valid++
 		for v, at := range m.acked {
 			if v > e.table && m.now.Sub(at) > modelBound {
-				return fmt.Sprintf("at %v an entry goes by version %d, and %d was acknowledged at %v", m.now.Sub(m.begun), e.table, v, at.Sub(m.begun))
+				return fmt.Sprintf("at %v an entry instance uses version %d, and %d was acknowledged at %v", m.now.Sub(m.started), e.table, v, at.Sub(m.started))
 			}
 		}
 	}
 	return ""
 }
 
-// modelSeeds are how many schedules are played, and soughtSeeds in how many of them a fault is looked for.
 const (
-	modelSeeds  = 40
-	soughtSeeds = 200
+	// modelSeeds is the number of schedules of the unmodified model.
+	modelSeeds = 40
+	// mutationSeeds is the largest number of schedules until a mutation is detected.
+	mutationSeeds = 200
 )
 
-// TestNoRevokedKeyOutlivesTheBound plays random schedules.
+// No random schedule may lead to a revoked key in use after the revocation bound.
 func TestNoRevokedKeyOutlivesTheBound(t *testing.T) {
-	held, acked := 0, 0
+	valid, acked := 0, 0
 	for seed := range uint64(modelSeeds) {
-		m := newModel(seed, nothing)
-		if wrong := m.run(); wrong != "" {
-			t.Errorf("seed %d: %s", seed, wrong)
+		m := newModel(seed, noMutation)
+		if violation := m.run(); violation != "" {
+			t.Errorf("seed %d: %s", seed, violation)
 		}
-		held += m.held
+		valid += m.valid
 		acked += len(m.acked)
 	}
-	if checks := modelSeeds * modelSteps * modelEntries; held < checks/10 || acked < modelSeeds {
-		t.Errorf("leases held in %d of %d checks, %d versions: the schedules show nothing", held, checks, acked)
+	if checks := modelSeeds * modelSteps * modelEntries; valid < checks/10 || acked < modelSeeds {
+		t.Errorf("leases were valid in %d of %d checks, with %d versions: too few for the test to be meaningful", valid, checks, acked)
 	}
 }
 
-// TestEachTermIsNeeded: a lease without any one of the terms of the package comment lets a revoked key in.
+// Each condition in the package comment is necessary: without it, the model finds a violation.
 func TestEachTermIsNeeded(t *testing.T) {
-	for _, out := range terms {
-		found := slices.ContainsFunc(make([]struct{}, soughtSeeds), func() func(struct{}) bool {
+	for _, mut := range mutations {
+		found := slices.ContainsFunc(make([]struct{}, mutationSeeds), func() func(struct{}) bool {
 			seed := uint64(0)
-			return func(struct{}) bool { seed++; return newModel(seed, out).run() != "" }
+			return func(struct{}) bool { seed++; return newModel(seed, mut).run() != "" }
 		}())
 		if !found {
-			t.Errorf("term %d can be left out in %d schedules", out, soughtSeeds)
+			t.Errorf("mutation %d caused no violation in %d schedules", mut, mutationSeeds)
 		}
 	}
 }
--- a/rockbarrow/lease/votes.go
+++ b/rockbarrow/lease/votes.go
@@ -9,42 +9,43 @@
 	"rockbarrow.dev/schema/fleetpb"
 )
 
-// Votes is what a control instance was told by voters of the newest states that they have accepted. The zero value is
-// ready.
+// VoterStates holds the newest states that voters have accepted, as reported to a control instance. The zero value is
+// ready to use.
 type VoterStates struct {
-	said map[uint64]vote
+	byStorage map[uint64]voterState
 }
 
-// vote is the number of the newest state that a voter had accepted when it was asked.
-type vote struct {
-	number uint64
-	asked  time.Time
+// voterState is the number of the newest state that a voter had accepted at a time.
+type voterState struct {
+	number  uint64
+	askedAt time.Time
 }
 
-// Heard takes an answer of a storage to a question of a moment.
-func (v *VoterStates) Record(storage, number uint64, asked time.Time) {
-	if v.said == nil {
-		v.said = map[uint64]vote{}
+// Record stores the reply of a voter's storage to a request sent at a time. Replies to earlier requests are ignored.
+func (v *VoterStates) Record(storage, number uint64, askedAt time.Time) {
+	if v.byStorage == nil {
+		v.byStorage = map[uint64]voterState{}
 	}
-	if before, ok := v.said[storage]; !ok || asked.After(before.asked) {
-		v.said[storage] = vote{number: number, asked: asked}
+	if prev, ok := v.byStorage[storage]; !ok || askedAt.After(prev.askedAt) {
+		v.byStorage[storage] = voterState{number: number, askedAt: askedAt}
 	}
 }
 
-// Confirm returns the latest moment by which a majority of the voters of s had accepted nothing newer than s, and
-// whether there is one. A newer state needs a majority of them too, also where it has other voters.
+// ConfirmedAt returns the latest time before which no state newer than s was chosen, if there is one: the time at which
+// a majority of the voters of s had accepted nothing newer. A newer state needs a majority of these voters even if it
+// changes the voters.
 func (v *VoterStates) ConfirmedAt(s *fleetpb.State) (at time.Time, ok bool) {
-	var moments []time.Time
+	var times []time.Time
 	for _, voter := range s.GetVoters() {
-		said, known := v.said[voter.GetStorage()]
-		if known && said.number <= s.GetNumber() {
-			moments = append(moments, said.asked)
+		state, known := v.byStorage[voter.GetStorage()]
+		if known && state.number <= s.GetNumber() {
+			times = append(times, state.askedAt)
 		}
 	}
 	majority := len(s.GetVoters())/2 + 1
-	if len(moments) < majority {
+	if len(times) < majority {
 		return time.Time{}, false
 	}
-	slices.SortFunc(moments, func(a, b time.Time) int { return b.Compare(a) })
-	return moments[majority-1], true
+	slices.SortFunc(times, func(a, b time.Time) int { return b.Compare(a) })
+	return times[majority-1], true
 }
