--- a/rockbarrow/lease/model_test.go
+++ b/rockbarrow/lease/model_test.go
@@ -379,7 +379,7 @@
 }
 
 // Each condition in the package comment is necessary: without it, the model finds a violation.
-func TestEachTermIsNeeded(t *testing.T) {
+func TestEachConditionIsNecessary(t *testing.T) {
 	for _, mut := range mutations {
 		found := slices.ContainsFunc(make([]struct{}, mutationSeeds), func() func(struct{}) bool {
 			seed := uint64(0)
--- a/rockbarrow/limiter/limiter_test.go
+++ b/rockbarrow/limiter/limiter_test.go
@@ -56,7 +56,7 @@
 
 // A customer that sends many new programs gets no more than its share of slots, even if it was first, and an idle
 // customer accumulates no credit.
-func TestCustomersShareByTheirWeights(t *testing.T) {
+func TestCustomersShareByWeight(t *testing.T) {
 	var l Limiter
 	l.Handle(start, Resized{Slots: 1})
 	l.Handle(start, newProgram(1, time.Hour))
@@ -128,7 +128,7 @@
 
 // A turn is rejected as soon as it is known that it cannot be answered within the
 // client's timeout.
-func TestNobodyIsHeldWhoWillNotBeServed(t *testing.T) {
+func TestTurnThatCannotBeServedIsRejected(t *testing.T) {
 	var l Limiter
 	l.Handle(start, Resized{Slots: 2})
 	turn := func(id ID, wait time.Duration) Arrived {
--- a/rockbarrow/placement/fleet_test.go
+++ b/rockbarrow/placement/fleet_test.go
@@ -29,7 +29,7 @@
 	return NewFleet(control.NewSnapshot(doc), w, p, nil)
 }
 
-func TestOnlyAllowedPlaces(t *testing.T) {
+func TestOnlyAllowedDomainsAreChosen(t *testing.T) {
 	for _, p := range []Policy{Cost, RoundRobin, LeastLoaded, Sticky} {
 		f := fleet(9, Weights{Latency: 1}, p)
 		r := rand.New(rand.NewPCG(1, 1))
@@ -168,7 +168,7 @@
 	})
 }
 
-func TestLeavingEndpointGetsNothing(t *testing.T) {
+func TestDrainingEndpointIsNotChosen(t *testing.T) {
 	for _, p := range []Policy{Cost, RoundRobin, LeastLoaded, Sticky} {
 		f := fleet(6, Weights{Latency: 1}, p)
 		r := rand.New(rand.NewPCG(1, 1))
--- a/rockbarrow/placement/remote_test.go
+++ b/rockbarrow/placement/remote_test.go
@@ -14,7 +14,7 @@
 
 // An endpoint that is full or failing according to other instances is not chosen.
 // Expired reports are ignored.
-func TestWhatOthersTellCounts(t *testing.T) {
+func TestRemoteLoadIsConsidered(t *testing.T) {
 	tests := []struct {
 		name             string
 		running, failing uint32
@@ -40,7 +40,7 @@
 	}
 }
 
-func TestAProgramLeavesAFailingEndpoint(t *testing.T) {
+func TestProgramLeavesAFailingEndpoint(t *testing.T) {
 	f, r, now := spreadFleet(20), rand.New(rand.NewPCG(1, 1)), time.Unix(100, 0)
 	req := spreadRequest()
 	req.LastEndpoint = life.Life{ID: "b1"}
@@ -56,7 +56,7 @@
 
 // Fifty instances that choose by the same report must not all choose the least
 // loaded endpoint.
-func TestOldNewsCausesNoCrowd(t *testing.T) {
+func TestStaleLoadCausesNoHerding(t *testing.T) {
 	now := time.Unix(100, 0)
 	count, highest := map[string]int{}, 0
 	for i := range 50 {
--- a/rockbarrow/placement/restart_test.go
+++ b/rockbarrow/placement/restart_test.go
@@ -26,7 +26,7 @@
 
 // A restarted endpoint starts without the failures, calls and remote load of the old process. Late updates for the
 // old process do not affect the new one.
-func TestANewLifeBeginsWithNothing(t *testing.T) {
+func TestRestartedEndpointHasNoState(t *testing.T) {
 	now := time.Unix(100, 0)
 	old := NewServiceFleet(time.Time{}, startedAt(1, 1000), Spread, nil)
 	before := old.Endpoint("e0000")
--- a/rockbarrow/placement/scale_test.go
+++ b/rockbarrow/placement/scale_test.go
@@ -47,7 +47,7 @@
 
 // Guards against quadratic indexing: inserting endpoints in random order into the
 // sorted list of their class.
-func TestIndexingGoesWithTheEndpoints(t *testing.T) {
+func TestIndexingIsNotQuadratic(t *testing.T) {
 	// maxRatio bounds the time to index by bindings relative to indexing by service.
 	// A quadratic index is some fifty times slower at this size.
 	const endpoints, maxRatio, runs = 8000, 15, 5
@@ -72,7 +72,7 @@
 }
 
 // Next must not index all endpoints again for a small change.
-func TestANewListCostsWhatChanged(t *testing.T) {
+func TestNextDoesNotReindexUnchangedEndpoints(t *testing.T) {
 	now := time.Unix(100, 0)
 	for _, n := range []int{1000, 2000} {
 		var list []*configpb.Endpoint
--- a/rockbarrow/placement/spread_test.go
+++ b/rockbarrow/placement/spread_test.go
@@ -81,7 +81,7 @@
 	}
 }
 
-func TestASilentEndpointIsAvoidedUntilItAnswers(t *testing.T) {
+func TestUnresponsiveEndpointIsAvoided(t *testing.T) {
 	f, r, now := spreadFleet(20), rand.New(rand.NewPCG(1, 1)), time.Unix(1, 0)
 	req := spreadRequest()
 	req.LastEndpoint = life.Life{ID: "b1"}
@@ -100,7 +100,7 @@
 	}
 }
 
-func TestAnUnreachedEndpointIsTakenOutAtOnceAndOnce(t *testing.T) {
+func TestUnreachableEndpointIsEjectedOnce(t *testing.T) {
 	f, r, now := spreadFleet(20), rand.New(rand.NewPCG(1, 1)), time.Unix(1, 0)
 	req := spreadRequest()
 	req.LastEndpoint = life.Life{ID: "b1"}
--- a/rockbarrow/quota/quota_test.go
+++ b/rockbarrow/quota/quota_test.go
@@ -135,7 +135,7 @@
 }
 
 // After a restart of all control instances, the requests admitted before are unknown and count as the limit.
-func TestACounterThatHasJustBegunIsCareful(t *testing.T) {
+func TestRestartedCounterAssumesTheLimit(t *testing.T) {
 	k := newClock()
 	n := &Counter{Params: params}
 	n.Start(k.now)
@@ -204,7 +204,7 @@
 const updateInterval = 300 * time.Millisecond
 
 // With 57 instances and any load, the limit and overrun are never exceeded, and a customer below its limit is served.
-func TestTheSumOfAllLimitersIsBounded(t *testing.T) {
+func TestLimitersTogetherKeepTheLimit(t *testing.T) {
 	const n, step = 57, 10 * time.Millisecond
 	for _, c := range []*fleetpb.Customer{customer(3, 3), customer(20, 20), customer(353, 353)} {
 		limit, _ := params.limit(c)
