--- a/rockbarrow/quota/counter.go
+++ b/rockbarrow/quota/counter.go
@@ -41,12 +41,12 @@
 
 // countOf returns the state of a customer. The caller must hold mu.
 func (c *Counter) countOf(customer string) *customerCount {
-	k := c.customers[customer]
-	if k == nil {
-		k = &customerCount{}
-		c.customers[customer] = k
+	cc := c.customers[customer]
+	if cc == nil {
+		cc = &customerCount{}
+		c.customers[customer] = cc
 	}
-	return k
+	return cc
 }
 
 // Add counts requests that an entry instance has admitted by itself.
@@ -57,10 +57,10 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, u := range uses {
-		k := c.countOf(u.GetCustomer())
-		w := &k.window
+		cc := c.countOf(u.GetCustomer())
+		w := &cc.window
 		if u.GetEarlier() {
-			w = &k.earlier
+			w = &cc.earlier
 		}
 		w.add(now.Sub(c.started), c.Params.Window, u.GetRequests())
 	}
@@ -76,11 +76,11 @@
 
 // effectiveCount returns the requests within the window that count against a limit, including an upper bound of those
 // that were admitted before the counter started: lost instances cannot report them. The caller must hold mu.
-func (c *Counter) effectiveCount(now time.Time, k *customerCount, limit float64) float64 {
+func (c *Counter) effectiveCount(now time.Time, cc *customerCount, limit float64) float64 {
 	age := now.Sub(c.started)
 	unknown := limit * (1 - age.Seconds()/c.Params.Window.Seconds())
-	earlier := max(unknown, float64(k.earlier.count(age, c.Params.Window)))
-	return earlier + float64(k.window.count(age, c.Params.Window)) + limit*c.missing
+	earlier := max(unknown, float64(cc.earlier.count(age, c.Params.Window)))
+	return earlier + float64(cc.window.count(age, c.Params.Window)) + limit*c.missing
 }
 
 // Admit admits either all n requests of a customer or none of them.
@@ -91,31 +91,31 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	k := c.countOf(customer.GetName())
+	cc := c.countOf(customer.GetName())
 	allowed := c.Params.counterLimit(limit)
 	if newProgram {
 		allowed = newProgramShare * limit
 	}
-	if used := c.effectiveCount(now, k, limit); used > 0 && used+float64(n) > allowed {
-		k.refused += uint64(n)
-		return Refused{RetryAfter: c.retryAfter(now, k, allowed-float64(n), customer.GetRequestsPerSecond())}
+	if used := c.effectiveCount(now, cc, limit); used > 0 && used+float64(n) > allowed {
+		cc.refused += uint64(n)
+		return Refused{RetryAfter: c.retryAfter(now, cc, allowed-float64(n), customer.GetRequestsPerSecond())}
 	}
-	k.window.add(now.Sub(c.started), c.Params.Window, n)
+	cc.window.add(now.Sub(c.started), c.Params.Window, n)
 	return Granted{}
 }
 
 // retryAfter returns the retry time for a refused client. Successive clients get increasing times, at the customer's
 // rate. The caller must hold mu.
-func (c *Counter) retryAfter(now time.Time, k *customerCount, left, perSecond float64) time.Duration {
-	next := now.Add(k.window.timeUntil(now.Sub(c.started), c.Params.Window, left))
+func (c *Counter) retryAfter(now time.Time, cc *customerCount, left, perSecond float64) time.Duration {
+	next := now.Add(cc.window.timeUntil(now.Sub(c.started), c.Params.Window, left))
 	step := time.Duration(float64(time.Second) / perSecond)
-	if after := k.lastRetryAt.Add(step); after.After(next) {
+	if after := cc.lastRetryAt.Add(step); after.After(next) {
 		next = after
 	}
 	if latest := now.Add(c.Params.Window); next.After(latest) {
 		next = latest
 	}
-	k.lastRetryAt = next
+	cc.lastRetryAt = next
 	return max(0, next.Sub(now))
 }
 
@@ -129,9 +129,9 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var out []*fleetpb.CustomerCount
-	for name, k := range c.customers {
+	for name, cc := range c.customers {
 		age := now.Sub(c.started)
-		if k.window.count(age, c.Params.Window)+k.earlier.count(age, c.Params.Window) == 0 && (k.refused == 0 || customer(name) == nil) {
+		if cc.window.count(age, c.Params.Window)+cc.earlier.count(age, c.Params.Window) == 0 && (cc.refused == 0 || customer(name) == nil) {
 			delete(c.customers, name)
 			continue
 		}
@@ -139,7 +139,7 @@
 		if !ok {
 			continue
 		}
-		if used := c.effectiveCount(now, k, limit); used > reportThreshold*limit {
+		if used := c.effectiveCount(now, cc, limit); used > reportThreshold*limit {
 			out = append(out, &fleetpb.CustomerCount{Customer: name, Requests: uint32(used)})
 		}
 	}
@@ -161,10 +161,10 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	limit, _ := c.Params.limit(customer)
-	k := c.customers[customer.GetName()]
-	if k == nil {
+	cc := c.customers[customer.GetName()]
+	if cc == nil {
 		return Usage{Limit: limit}
 	}
 	age := now.Sub(c.started)
-	return Usage{Requests: k.window.count(age, c.Params.Window), Refused: k.refused, Limit: limit}
+	return Usage{Requests: cc.window.count(age, c.Params.Window), Refused: cc.refused, Limit: limit}
 }
--- a/rockbarrow/quota/quota_test.go
+++ b/rockbarrow/quota/quota_test.go
@@ -56,22 +56,22 @@
 	for _, c := range []*fleetpb.Customer{customer(3, 3), customer(353, 353), customer(20, 0)} {
 		limit, _ := params.limit(c)
 		for _, modest := range []bool{false, true} {
-			k := newClock()
+			clk := newClock()
 			n := &Counter{Params: params}
-			n.Start(k.now)
-			k.advance(params.Window)
+			n.Start(clk.now)
+			clk.advance(params.Window)
 			var admitted []time.Time
 			for step := range 6000 {
-				k.advance(5 * time.Millisecond)
+				clk.advance(5 * time.Millisecond)
 				if modest && step%int(math.Ceil(1000/limit)) != 0 {
 					continue
 				}
-				if _, ok := n.Admit(k.now, c, 1, false).(Granted); ok {
-					admitted = append(admitted, k.now)
+				if _, ok := n.Admit(clk.now, c, 1, false).(Granted); ok {
+					admitted = append(admitted, clk.now)
 				} else if modest {
 					t.Fatalf("rate %v: refused at step %d below the limit", c.GetRequestsPerSecond(), step)
 				}
-				if recent := within(admitted, k.now); float64(recent) > params.hardLimit(limit) {
+				if recent := within(admitted, clk.now); float64(recent) > params.hardLimit(limit) {
 					t.Fatalf("rate %v: %d requests admitted, want at most %v", c.GetRequestsPerSecond(), recent, params.hardLimit(limit))
 				}
 			}
@@ -90,45 +90,45 @@
 
 // Turns of programs in progress are admitted when new programs are refused.
 func TestNewProgramsLeaveAReserve(t *testing.T) {
-	k := newClock()
+	clk := newClock()
 	n := &Counter{Params: params}
-	n.Start(k.now)
-	k.advance(params.Window)
+	n.Start(clk.now)
+	clk.advance(params.Window)
 	c := customer(20, 0)
 	for range 91 {
-		n.Admit(k.now, c, 1, true)
+		n.Admit(clk.now, c, 1, true)
 	}
-	if _, ok := n.Admit(k.now, c, 1, true).(Refused); !ok {
+	if _, ok := n.Admit(clk.now, c, 1, true).(Refused); !ok {
 		t.Error("a new program was admitted above its share of the limit")
 	}
-	if _, ok := n.Admit(k.now, c, 1, false).(Granted); !ok {
+	if _, ok := n.Admit(clk.now, c, 1, false).(Granted); !ok {
 		t.Error("a turn of a program in progress was refused below the limit")
 	}
 }
 
 // Clients that retry after the given time are admitted, even if several were refused.
 func TestRetryAfterIsAdmitted(t *testing.T) {
-	k := newClock()
+	clk := newClock()
 	n := &Counter{Params: Params{Window: 5 * time.Second}}
-	n.Start(k.now)
-	k.advance(5 * time.Second)
+	n.Start(clk.now)
+	clk.advance(5 * time.Second)
 	c := customer(10, 0)
 	for range 50 {
-		n.Admit(k.now, c, 1, false)
-		k.advance(10 * time.Millisecond)
+		n.Admit(clk.now, c, 1, false)
+		clk.advance(10 * time.Millisecond)
 	}
 	var retries []time.Duration
 	for range 5 {
-		r, ok := n.Admit(k.now, c, 1, false).(Refused)
+		r, ok := n.Admit(clk.now, c, 1, false).(Refused)
 		if !ok {
 			t.Fatal("a request was admitted beyond the limit")
 		}
 		retries = append(retries, r.RetryAfter)
 	}
-	start := k.now
+	start := clk.now
 	for i, after := range retries {
-		k.now = start.Add(after)
-		if _, ok := n.Admit(k.now, c, 1, false).(Granted); !ok {
+		clk.now = start.Add(after)
+		if _, ok := n.Admit(clk.now, c, 1, false).(Granted); !ok {
 			t.Errorf("client %d retried after %v and was refused", i, after)
 		}
 	}
@@ -136,14 +136,14 @@
 
 // After a restart of all control instances, the requests admitted before are unknown and count as the limit.
 func TestRestartedCounterAssumesTheLimit(t *testing.T) {
-	k := newClock()
+	clk := newClock()
 	n := &Counter{Params: params}
-	n.Start(k.now)
+	n.Start(clk.now)
 	c := customer(353, 353)
 	limit, _ := params.limit(c)
 	admitted := 0.0
 	for range 4000 {
-		if _, ok := n.Admit(k.now, c, 1, false).(Granted); ok {
+		if _, ok := n.Admit(clk.now, c, 1, false).(Granted); ok {
 			admitted++
 		}
 	}
@@ -165,17 +165,17 @@
 }
 
 func newCluster(n int, mode Mode, c *fleetpb.Customer) *cluster {
-	w := &cluster{customer: c, clock: newClock(), counter: &Counter{Params: params}, reported: make([]uint64, n), partitioned: map[int]bool{}}
-	w.counter.Start(w.clock.now)
-	w.clock.advance(params.Window)
+	cl := &cluster{customer: c, clock: newClock(), counter: &Counter{Params: params}, reported: make([]uint64, n), partitioned: map[int]bool{}}
+	cl.counter.Start(cl.clock.now)
+	cl.clock.advance(params.Window)
 	for i := range n {
-		w.limiters = append(w.limiters, &Limiter{
+		cl.limiters = append(cl.limiters, &Limiter{
 			Params: params, Mode: mode, Instance: fmt.Sprint("e", i), EntryCount: func() int { return n },
 			AskControl: func(_ context.Context, req *fleetpb.AdmitRequest) (string, *fleetpb.AdmitReply, error) {
-				if w.partitioned[i] {
+				if cl.partitioned[i] {
 					return "", nil, errors.New("partitioned")
 				}
-				switch d := w.counter.Admit(w.clock.now, w.customer, req.GetRequests(), req.GetNewProgram()).(type) {
+				switch d := cl.counter.Admit(cl.clock.now, cl.customer, req.GetRequests(), req.GetNewProgram()).(type) {
 				case Granted:
 					return "control", &fleetpb.AdmitReply{Granted: true}, nil
 				case Refused:
@@ -185,19 +185,19 @@
 			},
 		})
 	}
-	return w
+	return cl
 }
 
 // exchange sends a limiter's report to the counter and an update to the limiter.
-func (w *cluster) exchange(i int) {
-	if w.partitioned[i] {
+func (cl *cluster) exchange(i int) {
+	if cl.partitioned[i] {
 		return
 	}
-	for _, u := range w.limiters[i].Admitted("control") {
-		w.counter.Add(w.clock.now, []*fleetpb.CustomerUse{{Customer: u.Customer, Requests: uint32(u.Requests - w.reported[i])}})
-		w.reported[i] = u.Requests
+	for _, u := range cl.limiters[i].Admitted("control") {
+		cl.counter.Add(cl.clock.now, []*fleetpb.CustomerUse{{Customer: u.Customer, Requests: uint32(u.Requests - cl.reported[i])}})
+		cl.reported[i] = u.Requests
 	}
-	w.limiters[i].SetCounts(w.clock.now, w.counter.Counts(w.clock.now, func(string) *fleetpb.Customer { return w.customer }))
+	cl.limiters[i].SetCounts(cl.clock.now, cl.counter.Counts(cl.clock.now, func(string) *fleetpb.Customer { return cl.customer }))
 }
 
 // updateInterval is the interval at which a limiter exchanges counts.
@@ -209,28 +209,28 @@
 	for _, c := range []*fleetpb.Customer{customer(3, 3), customer(20, 20), customer(353, 353)} {
 		limit, _ := params.limit(c)
 		for name, demand := range map[string]float64{"half the limit": 0.5, "all of it": 0.95, "ten times": 10} {
-			w := newCluster(n, Shared{}, c)
+			cl := newCluster(n, Shared{}, c)
 			var admitted []time.Time
 			sent, refused := 0, 0
 			carry := 0.0
 			for tick := range 1500 {
-				w.clock.advance(step)
+				cl.clock.advance(step)
 				for i := range n {
 					if (tick+i*7)%int(updateInterval/step) == 0 {
-						w.exchange(i)
+						cl.exchange(i)
 					}
 				}
 				for carry += demand * limit / params.Window.Seconds() * step.Seconds(); carry >= 1; carry-- {
-					limiter := w.limiters[(tick*31+int(carry)*17)%n]
-					below := float64(within(admitted, w.clock.now)) < limit-1
-					if _, ok := limiter.Admit(t.Context(), w.clock.now, c, false).(Granted); ok {
-						admitted = append(admitted, w.clock.now)
+					limiter := cl.limiters[(tick*31+int(carry)*17)%n]
+					below := float64(within(admitted, cl.clock.now)) < limit-1
+					if _, ok := limiter.Admit(t.Context(), cl.clock.now, c, false).(Granted); ok {
+						admitted = append(admitted, cl.clock.now)
 					} else if below {
 						refused++
 					}
 					sent++
 				}
-				if recent := within(admitted, w.clock.now); float64(recent) > params.hardLimit(limit) {
+				if recent := within(admitted, cl.clock.now); float64(recent) > params.hardLimit(limit) {
 					t.Fatalf("rate %v, %s: %d requests admitted, want at most %v", c.GetRequestsPerSecond(), name, recent, params.hardLimit(limit))
 				}
 			}
@@ -246,12 +246,12 @@
 	const n = 57
 	for _, c := range []*fleetpb.Customer{customer(3, 3), customer(353, 353)} {
 		limit, _ := params.limit(c)
-		w := newCluster(n, Shared{}, c)
+		cl := newCluster(n, Shared{}, c)
 		admitted := 0
-		for i, limiter := range w.limiters {
-			w.partitioned[i] = true
+		for i, limiter := range cl.limiters {
+			cl.partitioned[i] = true
 			for range 200 {
-				switch limiter.Admit(t.Context(), w.clock.now, c, false).(type) {
+				switch limiter.Admit(t.Context(), cl.clock.now, c, false).(type) {
 				case Granted:
 					admitted++
 				case Refused:
@@ -288,14 +288,14 @@
 
 // A limiter that receives no updates must ask for each request.
 func TestExpiredUpdateGivesNoAllowance(t *testing.T) {
-	k, l, c := newClock(), newStubLimiter(granted), customer(353, 353)
-	l.SetCounts(k.now, nil)
-	l.Admit(t.Context(), k.now, c, false)
+	clk, l, c := newClock(), newStubLimiter(granted), customer(353, 353)
+	l.SetCounts(clk.now, nil)
+	l.Admit(t.Context(), clk.now, c, false)
 	if l.asked != 0 {
 		t.Fatal("a fresh update gave no allowance")
 	}
-	k.advance(updateTTL + time.Millisecond)
-	l.Admit(t.Context(), k.now, c, false)
+	clk.advance(updateTTL + time.Millisecond)
+	l.Admit(t.Context(), clk.now, c, false)
 	if l.asked != 1 {
 		t.Errorf("asked %d times after the update expired, want 1", l.asked)
 	}
@@ -303,14 +303,14 @@
 
 // Near the limit, only a control instance may admit new programs.
 func TestNewProgramsHaveNoAllowanceNearTheLimit(t *testing.T) {
-	k, l, c := newClock(), newStubLimiter(granted), customer(353, 353)
+	clk, l, c := newClock(), newStubLimiter(granted), customer(353, 353)
 	limit, _ := params.limit(c)
-	l.SetCounts(k.now, []*fleetpb.CustomerCount{{Customer: "c", Requests: uint32(0.95 * limit)}})
-	l.Admit(t.Context(), k.now, c, false)
+	l.SetCounts(clk.now, []*fleetpb.CustomerCount{{Customer: "c", Requests: uint32(0.95 * limit)}})
+	l.Admit(t.Context(), clk.now, c, false)
 	if l.asked != 0 {
 		t.Fatal("a turn of a program in progress had no allowance")
 	}
-	l.Admit(t.Context(), k.now, c, true)
+	l.Admit(t.Context(), clk.now, c, true)
 	if l.asked != 1 {
 		t.Errorf("asked %d times for a new program near the limit, want 1", l.asked)
 	}
@@ -319,20 +319,20 @@
 // A refusal is cached for refusalTTL. That of a new program does not apply to programs in progress.
 func TestRefusalIsCached(t *testing.T) {
 	for _, newProgram := range []bool{true, false} {
-		k, l, c := newClock(), newStubLimiter(refused), customer(3, 3)
-		if r, ok := l.Admit(t.Context(), k.now, c, newProgram).(Refused); !ok || r.RetryAfter != 5*time.Second {
+		clk, l, c := newClock(), newStubLimiter(refused), customer(3, 3)
+		if r, ok := l.Admit(t.Context(), clk.now, c, newProgram).(Refused); !ok || r.RetryAfter != 5*time.Second {
 			t.Errorf("decision %+v, want a refusal for 5s", r)
 		}
-		k.advance(refusalTTL / 2)
-		if _, ok := l.Admit(t.Context(), k.now, c, newProgram).(Refused); !ok || l.asked != 1 {
+		clk.advance(refusalTTL / 2)
+		if _, ok := l.Admit(t.Context(), clk.now, c, newProgram).(Refused); !ok || l.asked != 1 {
 			t.Errorf("new program %v: asked %d times after a refusal, want 1", newProgram, l.asked)
 		}
-		l.Admit(t.Context(), k.now, c, !newProgram)
+		l.Admit(t.Context(), clk.now, c, !newProgram)
 		if want := map[bool]int{true: 2, false: 1}[newProgram]; l.asked != want {
 			t.Errorf("new program %v: asked %d times after a request of the other kind, want %d", newProgram, l.asked, want)
 		}
-		k.advance(refusalTTL)
-		l.Admit(t.Context(), k.now, c, newProgram)
+		clk.advance(refusalTTL)
+		l.Admit(t.Context(), clk.now, c, newProgram)
 		if want := map[bool]int{true: 3, false: 2}[newProgram]; l.asked != want {
 			t.Errorf("new program %v: asked %d times after the refusal expired, want %d", newProgram, l.asked, want)
 		}
@@ -341,17 +341,17 @@
 
 // A refund admits one request, and expires after refundTTL.
 func TestRefundExpires(t *testing.T) {
-	k, l, c := newClock(), newStubLimiter(refused), customer(3, 3)
-	l.Refund(k.now, c)
-	if _, ok := l.Admit(t.Context(), k.now, c, false).(Granted); !ok || l.asked != 0 {
+	clk, l, c := newClock(), newStubLimiter(refused), customer(3, 3)
+	l.Refund(clk.now, c)
+	if _, ok := l.Admit(t.Context(), clk.now, c, false).(Granted); !ok || l.asked != 0 {
 		t.Error("a refund did not admit a request")
 	}
-	if _, ok := l.Admit(t.Context(), k.now, c, false).(Refused); !ok {
+	if _, ok := l.Admit(t.Context(), clk.now, c, false).(Refused); !ok {
 		t.Error("a refund admitted two requests")
 	}
-	l.Refund(k.now, c)
-	k.advance(refundTTL)
-	if _, ok := l.Admit(t.Context(), k.now, c, false).(Refused); !ok {
+	l.Refund(clk.now, c)
+	clk.advance(refundTTL)
+	if _, ok := l.Admit(t.Context(), clk.now, c, false).(Refused); !ok {
 		t.Error("an expired refund admitted a request")
 	}
 }
