--- a/rockbarrow/entry/customer.go
+++ b/rockbarrow/entry/customer.go
@@ -30,11 +30,11 @@
 		}
 		return nil
 	case x.customer == nil && !x.entry.Lease.WasNewestWithin(now, x.table.Version(), confirmedWithin):
-		return Refused{Status: http.StatusServiceUnavailable, RetryAfter: x.entry.retryAfterUnconfirmed(now), Reason: "the key is not known here, which may lag behind"}
+		return Rejected{Status: http.StatusServiceUnavailable, RetryAfter: x.entry.retryAfterUnconfirmed(now), Reason: "the key is not known here, which may lag behind"}
 	case x.customer == nil:
-		return Refused{Status: http.StatusUnauthorized, Reason: "no customer holds such a key"}
+		return Rejected{Status: http.StatusUnauthorized, Reason: "no customer holds such a key"}
 	case !x.entry.hasValidKey(x, now):
-		return Refused{Status: http.StatusServiceUnavailable, RetryAfter: x.entry.retryAfterUnconfirmed(now), Reason: "the key could not be confirmed lately"}
+		return Rejected{Status: http.StatusServiceUnavailable, RetryAfter: x.entry.retryAfterUnconfirmed(now), Reason: "the key could not be confirmed lately"}
 	}
 	return nil
 }
@@ -69,9 +69,9 @@
 	x.entry.countCustomer(x.customer.GetName(), d)
 	switch d := d.(type) {
 	case quota.Refused:
-		return Refused{Status: http.StatusTooManyRequests, RetryAfter: max(d.RetryAfter, soon), Reason: "the customer is at its limit"}
+		return Rejected{Status: http.StatusTooManyRequests, RetryAfter: max(d.RetryAfter, soon), Reason: "the customer is at its limit"}
 	case quota.Unavailable:
-		return Refused{Status: http.StatusServiceUnavailable, RetryAfter: later, Reason: "the customer's limit could not be looked up"}
+		return Rejected{Status: http.StatusServiceUnavailable, RetryAfter: later, Reason: "the customer's limit could not be looked up"}
 	}
 	x.counted = true
 	return nil
--- a/rockbarrow/entry/customer_test.go
+++ b/rockbarrow/entry/customer_test.go
@@ -36,7 +36,7 @@
 // newKeyed returns an entry with the keyed document, which was confirmed just now.
 func newKeyed(t *testing.T, s *fakeSender) *Entry {
 	if s.answers == nil {
-		s.answers = []func(Offer) (*Answer, error){answers(200, "ok")}
+		s.answers = []func(EndpointRequest) (*Response, error){answers(200, "ok")}
 	}
 	e := newEntry(t, s)
 	e.Lease = &lease.Lease{TTL: lease.TTL(5 * time.Second)}
@@ -79,7 +79,7 @@
 }
 
 func statusOf(o Outcome, out *fakeOut) int {
-	if r, ok := o.(Refused); ok {
+	if r, ok := o.(Rejected); ok {
 		return r.Status
 	}
 	return out.status
@@ -119,7 +119,7 @@
 		if got := statusOf(o, out); got != test.status {
 			t.Errorf("%s: status %d, want %d", test.name, got, test.status)
 		}
-		if r, ok := o.(Refused); ok && r.Status == 503 && r.RetryAfter == 0 {
+		if r, ok := o.(Rejected); ok && r.Status == 503 && r.RetryAfter == 0 {
 			t.Errorf("%s: no time to come back", test.name)
 		}
 		if (len(s.offers) > 0) != (test.status == 200) {
@@ -129,8 +129,8 @@
 			if want := (&exchange{customer: table(t, keyed(2)).CustomerByName(test.customer), route: keyed(2).Routes[offerRoute(test.path)]}).endpointPriority(); offer.Priority != want {
 				t.Errorf("%s: offered with priority %d, want %d", test.name, offer.Priority, want)
 			}
-			if offer.Customer != test.customer || !offer.HideKey {
-				t.Errorf("%s: offered as customer %q, key hidden %v", test.name, offer.Customer, offer.HideKey)
+			if offer.Customer != test.customer || !offer.StripKey {
+				t.Errorf("%s: offered as customer %q, key hidden %v", test.name, offer.Customer, offer.StripKey)
 			}
 		}
 	}
@@ -151,11 +151,11 @@
 
 // TestWithoutCustomersKeysMeanNothing: a deployment whose configuration has no customers passes keys on.
 func TestWithoutCustomersKeysMeanNothing(t *testing.T) {
-	s := &fakeSender{answers: []func(Offer) (*Answer, error){answers(200, "ok")}}
+	s := &fakeSender{answers: []func(EndpointRequest) (*Response, error){answers(200, "ok")}}
 	e := newEntry(t, s)
 	e.Lease = &lease.Lease{TTL: time.Second}
 	out := &fakeOut{}
-	if o := e.Serve(t.Context(), askAs("ka", "/once/1"), out); statusOf(o, out) != 200 || s.offers[0].HideKey || s.offers[0].Customer != "" {
+	if o := e.Serve(t.Context(), askAs("ka", "/once/1"), out); statusOf(o, out) != 200 || s.offers[0].StripKey || s.offers[0].Customer != "" {
 		t.Errorf("%+v, offers %+v", o, s.offers)
 	}
 }
@@ -165,7 +165,7 @@
 func TestAFrozenInstanceLooksAtTheLeaseAgain(t *testing.T) {
 	s := &fakeSender{}
 	e := newKeyed(t, s)
-	s.answers = []func(Offer) (*Answer, error){func(o Offer) (*Answer, error) {
+	s.answers = []func(EndpointRequest) (*Response, error){func(o EndpointRequest) (*Response, error) {
 		e.Lease = &lease.Lease{TTL: lease.TTL(5 * time.Second)}
 		e.Lease.Confirm(2, time.Now().Add(-5*time.Second))
 		return notRun(o)
@@ -198,7 +198,7 @@
 	} {
 		s := &fakeSender{}
 		e := newKeyed(t, s)
-		s.answers = []func(Offer) (*Answer, error){func(o Offer) (*Answer, error) {
+		s.answers = []func(EndpointRequest) (*Response, error){func(o EndpointRequest) (*Response, error) {
 			e.take(t, test.next)
 			e.Lease = &lease.Lease{TTL: lease.TTL(5 * time.Second)}
 			e.Lease.Confirm(3, time.Now())
@@ -236,13 +236,13 @@
 		return "", nil, errors.New("nobody is there")
 	}
 	for name, test := range map[string]struct {
-		answer func(Offer) (*Answer, error)
+		answer func(EndpointRequest) (*Response, error)
 		want   int
 	}{
 		"it did not run":  {notRun, http.StatusServiceUnavailable},
 		"it may have run": {broken, http.StatusTooManyRequests},
 	} {
-		s := &fakeSender{answers: []func(Offer) (*Answer, error){test.answer}}
+		s := &fakeSender{answers: []func(EndpointRequest) (*Response, error){test.answer}}
 		e := newKeyed(t, s)
 		d := keyed(2)
 		d.Customers[0].RequestsPerSecond, d.Customers[0].Burst = 0.1, 0.5
@@ -254,7 +254,7 @@
 		if statusOf(o, out) != test.want {
 			t.Errorf("%s: the next request got %+v, want %d", name, o, test.want)
 		}
-		if r, ok := o.(Refused); ok && r.Status == http.StatusTooManyRequests && r.RetryAfter <= 0 {
+		if r, ok := o.(Rejected); ok && r.Status == http.StatusTooManyRequests && r.RetryAfter <= 0 {
 			t.Errorf("%s: no time to come back", name)
 		}
 	}
@@ -316,7 +316,7 @@
 		e.take(t, d)
 		r := askAs("ka", test.path)
 		r.Previous, r.LastEvent = test.previous, test.event
-		o, ok := e.Serve(t.Context(), r, &fakeOut{}).(Refused)
+		o, ok := e.Serve(t.Context(), r, &fakeOut{}).(Rejected)
 		if asked != 1 || !ok || o.Status != http.StatusTooManyRequests || o.RetryAfter != after {
 			t.Errorf("%s: %+v after %d questions", name, o, asked)
 		}
@@ -325,7 +325,7 @@
 
 // TestARetryIsCharged: a request that may have run at one endpoint and runs at another one counts twice.
 func TestARetryIsCharged(t *testing.T) {
-	s := &fakeSender{answers: []func(Offer) (*Answer, error){broken, answers(200, "ok")}}
+	s := &fakeSender{answers: []func(EndpointRequest) (*Response, error){broken, answers(200, "ok")}}
 	e := newKeyed(t, s)
 	d := keyed(2)
 	d.Customers[0].RequestsPerSecond, d.Customers[0].Burst = 0.1, 2.5
@@ -344,8 +344,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		view := startStores(t)
 		serve := func(secret, id, previous string) int {
-			e := newStreamEntry(t, view, senderFunc(func(context.Context, Offer) (*Answer, error) {
-				return &Answer{Status: 200, Header: http.Header{}, Length: -1, Body: io.NopCloser(strings.NewReader(events(1, 3)))}, nil
+			e := newStreamEntry(t, view, senderFunc(func(context.Context, EndpointRequest) (*Response, error) {
+				return &Response{Status: 200, Header: http.Header{}, ContentLength: -1, Body: io.NopCloser(strings.NewReader(events(1, 3)))}, nil
 			}))
 			d := streams()
 			d.Version, d.Customers = 2, keyed(2).Customers
--- a/rockbarrow/entry/doc.go
+++ b/rockbarrow/entry/doc.go
@@ -10,5 +10,5 @@
 // have run is never sent again.
 //
 // The wire is not here: requests come in as [Request], go out through a
-// [Sender], and are answered through an [Out].
+// [Sender], and are answered through an [ResponseWriter].
 package entry
--- a/rockbarrow/entry/entry.go
+++ b/rockbarrow/entry/entry.go
@@ -170,17 +170,17 @@
 }
 
 // Serve answers a request.
-func (e *Entry) Serve(ctx context.Context, req *Request, out Out) Outcome {
+func (e *Entry) Serve(ctx context.Context, req *Request, out ResponseWriter) Outcome {
 	e.inFlight.Add(1)
 	defer e.inFlight.Add(-1)
 	e.awaitLearned(ctx)
 	t, f := e.table.Load(), e.fleet.Load()
 	if t == nil || f == nil {
-		return e.ended(&exchange{entry: e, request: req}, Refused{Status: http.StatusServiceUnavailable, RetryAfter: soon, Reason: "this instance has not learned what to serve yet"})
+		return e.ended(&exchange{entry: e, request: req}, Rejected{Status: http.StatusServiceUnavailable, RetryAfter: soon, Reason: "this instance has not learned what to serve yet"})
 	}
 	route, ok := t.Match(req.Host, req.Path)
 	if !ok {
-		return e.ended(&exchange{entry: e, request: req, table: t}, Refused{Status: http.StatusNotFound, Reason: "no route"})
+		return e.ended(&exchange{entry: e, request: req, table: t}, Rejected{Status: http.StatusNotFound, Reason: "no route"})
 	}
 	x := &exchange{entry: e, request: req, table: t, route: route, out: out}
 	x.service = t.Service(routing.PickService(route, x.splitKey()))
@@ -233,9 +233,9 @@
 	took := time.Since(r.Arrived)
 	status, reason, level := x.status, "", logrus.InfoLevel
 	switch o := o.(type) {
-	case Refused:
+	case Rejected:
 		status, reason, level = o.Status, o.Reason, logrus.WarnLevel
-	case Cut:
+	case Aborted:
 		status, reason, level = 0, o.Reason, logrus.WarnLevel
 	}
 	e.count(x, o, took)
@@ -254,9 +254,9 @@
 func (e *Entry) count(x *exchange, o Outcome, took time.Duration) {
 	kind := "answered"
 	switch o := o.(type) {
-	case Refused:
+	case Rejected:
 		kind = "refused_" + http.StatusText(o.Status)
-	case Cut:
+	case Aborted:
 		kind = "cut"
 	}
 	scope := e.outcomes.of(e.Metrics, "outcome", kind)
--- a/rockbarrow/entry/entry_test.go
+++ b/rockbarrow/entry/entry_test.go
@@ -25,28 +25,28 @@
 
 // fakeSender answers offers from a list, the last one for ever.
 type fakeSender struct {
-	answers []func(o Offer) (*Answer, error)
-	offers  []Offer
+	answers []func(o EndpointRequest) (*Response, error)
+	offers  []EndpointRequest
 }
 
-func (s *fakeSender) Send(_ context.Context, o Offer) (*Answer, error) {
+func (s *fakeSender) Send(_ context.Context, o EndpointRequest) (*Response, error) {
 	f := s.answers[min(len(s.offers), len(s.answers)-1)]
 	s.offers = append(s.offers, o)
 	return f(o)
 }
 
-func answers(status int, body string) func(Offer) (*Answer, error) {
-	return func(Offer) (*Answer, error) {
-		return &Answer{Status: status, Header: http.Header{}, Length: int64(len(body)), Body: io.NopCloser(strings.NewReader(body))}, nil
+func answers(status int, body string) func(EndpointRequest) (*Response, error) {
+	return func(EndpointRequest) (*Response, error) {
+		return &Response{Status: status, Header: http.Header{}, ContentLength: int64(len(body)), Body: io.NopCloser(strings.NewReader(body))}, nil
 	}
 }
 
-func notRun(o Offer) (*Answer, error) {
-	return nil, &NotRunError{Endpoint: o.Endpoint.GetName(), Reason: "full", Busy: true}
+func notRun(o EndpointRequest) (*Response, error) {
+	return nil, &NotExecutedError{Endpoint: o.Endpoint.GetName(), Reason: "full", Busy: true}
 }
 
-func broken(o Offer) (*Answer, error) {
-	return nil, &BrokenError{Endpoint: o.Endpoint.GetName(), Reason: "reset"}
+func broken(o EndpointRequest) (*Response, error) {
+	return nil, &OutcomeUnknownError{Endpoint: o.Endpoint.GetName(), Reason: "reset"}
 }
 
 // brokenReader fails after its text.
@@ -60,9 +60,9 @@
 	return n, err
 }
 
-func cutOff(body string) func(Offer) (*Answer, error) {
-	return func(Offer) (*Answer, error) {
-		return &Answer{Status: 200, Header: http.Header{}, Length: -1, Body: io.NopCloser(brokenReader{strings.NewReader(body)})}, nil
+func cutOff(body string) func(EndpointRequest) (*Response, error) {
+	return func(EndpointRequest) (*Response, error) {
+		return &Response{Status: 200, Header: http.Header{}, ContentLength: -1, Body: io.NopCloser(brokenReader{strings.NewReader(body)})}, nil
 	}
 }
 
@@ -140,28 +140,28 @@
 	tests := []struct {
 		name    string
 		path    string
-		answers []func(Offer) (*Answer, error)
+		answers []func(EndpointRequest) (*Response, error)
 		// status is what the client sees, offers how many endpoints were asked.
 		status, offers int
 	}{
-		{"served", "/repeat/1", []func(Offer) (*Answer, error){answers(200, "ok")}, 200, 1},
+		{"served", "/repeat/1", []func(EndpointRequest) (*Response, error){answers(200, "ok")}, 200, 1},
 		{"no route", "/none/1", nil, 404, 0},
-		{"a repeatable one is tried again", "/repeat/1", []func(Offer) (*Answer, error){broken, answers(200, "ok")}, 200, 2},
-		{"and again after a lost answer", "/repeat/1", []func(Offer) (*Answer, error){cutOff("half"), answers(200, "ok")}, 200, 2},
-		{"but not for ever", "/repeat/1", []func(Offer) (*Answer, error){broken}, 502, 2},
-		{"an unrepeatable one is not", "/once/1", []func(Offer) (*Answer, error){broken, answers(200, "ok")}, 502, 1},
-		{"nor after a lost answer", "/once/1", []func(Offer) (*Answer, error){cutOff("half"), answers(200, "ok")}, 502, 1},
-		{"unless it did not run", "/once/1", []func(Offer) (*Answer, error){notRun, answers(200, "ok")}, 200, 2},
-		{"all are full", "/once/1", []func(Offer) (*Answer, error){notRun}, 503, 3},
-		{"one may have run, the others are full", "/repeat/1", []func(Offer) (*Answer, error){broken, notRun}, 502, 3},
-		{"the endpoint's own failure", "/once/1", []func(Offer) (*Answer, error){answers(500, "bad")}, 500, 1},
+		{"a repeatable one is tried again", "/repeat/1", []func(EndpointRequest) (*Response, error){broken, answers(200, "ok")}, 200, 2},
+		{"and again after a lost answer", "/repeat/1", []func(EndpointRequest) (*Response, error){cutOff("half"), answers(200, "ok")}, 200, 2},
+		{"but not for ever", "/repeat/1", []func(EndpointRequest) (*Response, error){broken}, 502, 2},
+		{"an unrepeatable one is not", "/once/1", []func(EndpointRequest) (*Response, error){broken, answers(200, "ok")}, 502, 1},
+		{"nor after a lost answer", "/once/1", []func(EndpointRequest) (*Response, error){cutOff("half"), answers(200, "ok")}, 502, 1},
+		{"unless it did not run", "/once/1", []func(EndpointRequest) (*Response, error){notRun, answers(200, "ok")}, 200, 2},
+		{"all are full", "/once/1", []func(EndpointRequest) (*Response, error){notRun}, 503, 3},
+		{"one may have run, the others are full", "/repeat/1", []func(EndpointRequest) (*Response, error){broken, notRun}, 502, 3},
+		{"the endpoint's own failure", "/once/1", []func(EndpointRequest) (*Response, error){answers(500, "bad")}, 500, 1},
 	}
 	for _, test := range tests {
 		s := &fakeSender{answers: test.answers}
 		out := &fakeOut{}
 		o := newEntry(t, s).Serve(t.Context(), ask(test.path), out)
 		status := out.status
-		if r, ok := o.(Refused); ok {
+		if r, ok := o.(Rejected); ok {
 			status = r.Status
 		}
 		if status != test.status || len(s.offers) != test.offers {
@@ -178,7 +178,7 @@
 }
 
 func TestLeavingEndpointsGetNothingAlsoAfterAnOlderList(t *testing.T) {
-	s := &fakeSender{answers: []func(Offer) (*Answer, error){answers(200, "ok")}}
+	s := &fakeSender{answers: []func(EndpointRequest) (*Response, error){answers(200, "ok")}}
 	e := newEntry(t, s)
 	e.Watch.UpdateList(list(2, "x", "y"), time.Now())
 	e.refresh()
@@ -197,7 +197,7 @@
 func TestWithoutAConfigurationNothingIsDenied(t *testing.T) {
 	e := newEntry(t, &fakeSender{})
 	e.table.Store(nil)
-	o, ok := e.Serve(t.Context(), ask("/none/1"), &fakeOut{}).(Refused)
+	o, ok := e.Serve(t.Context(), ask("/none/1"), &fakeOut{}).(Rejected)
 	if !ok || o.Status != http.StatusServiceUnavailable || o.RetryAfter == 0 {
 		t.Errorf("%+v, want 503 with a time to come back", o)
 	}
@@ -207,12 +207,12 @@
 }
 
 func TestATurnIsNotSentBeforeItIsReserved(t *testing.T) {
-	s := &fakeSender{answers: []func(Offer) (*Answer, error){answers(200, "data: x\n\n")}}
+	s := &fakeSender{answers: []func(EndpointRequest) (*Response, error){answers(200, "data: x\n\n")}}
 	e := newEntry(t, s)
 	// The view has no stores, so that no reservation can be made.
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
-	o, ok := e.Serve(ctx, ask("/turn/1"), &fakeOut{}).(Refused)
+	o, ok := e.Serve(ctx, ask("/turn/1"), &fakeOut{}).(Rejected)
 	if !ok || o.Status != http.StatusServiceUnavailable || o.RetryAfter == 0 {
 		t.Errorf("%+v", o)
 	}
@@ -305,7 +305,7 @@
 
 // TestLoadsOfAnotherListAreNotTaken: loads go by the order of a list.
 func TestLoadsOfAnotherListAreNotTaken(t *testing.T) {
-	s := &fakeSender{answers: []func(Offer) (*Answer, error){answers(200, "ok")}}
+	s := &fakeSender{answers: []func(EndpointRequest) (*Response, error){answers(200, "ok")}}
 	e := newEntry(t, s)
 	e.ReceiveLoads(&fleetpb.EndpointLoads{ListNumber: 99, Running: []uint32{9, 9, 9}, Failing: []uint32{90, 90, 90}})
 	e.ReceiveLoads(&fleetpb.EndpointLoads{ListNumber: 1, Running: []uint32{9}, Failing: []uint32{90}})
--- a/rockbarrow/entry/evacuation_test.go
+++ b/rockbarrow/entry/evacuation_test.go
@@ -80,7 +80,7 @@
 func TestARequestIsRefusedWhereAllIsEvacuated(t *testing.T) {
 	e := newEntry(t, &fakeSender{})
 	e.evacuate(2, "a")
-	refused, ok := e.Serve(t.Context(), ask("/once/1"), &fakeOut{}).(Refused)
+	refused, ok := e.Serve(t.Context(), ask("/once/1"), &fakeOut{}).(Rejected)
 	if !ok || refused.Status != 503 || refused.RetryAfter == 0 {
 		t.Errorf("%+v", refused)
 	}
--- a/rockbarrow/entry/exchange.go
+++ b/rockbarrow/entry/exchange.go
@@ -38,7 +38,7 @@
 	// counted is true once the request was counted against the customer's quota.
 	counted  bool
 	way      way
-	out      Out
+	out      ResponseWriter
 	deadline time.Time
 
 	// grant is what the stores have set aside, or nil.
@@ -158,13 +158,13 @@
 
 // offer sends the request to the best endpoint, which has until the end of try. The
 // place is given back by done.
-func (x *exchange) offer(ctx, try context.Context, pauses *pauses) (*Answer, func(placement.Result), error) {
+func (x *exchange) offer(ctx, try context.Context, pauses *pauses) (*Response, func(placement.Result), error) {
 	if !x.entry.hasValidKey(x, time.Now()) {
-		return nil, nil, &NotRunError{Endpoint: "none", Reason: "the key could not be confirmed lately", Busy: true}
+		return nil, nil, &NotExecutedError{Endpoint: "none", Reason: "the key could not be confirmed lately", Busy: true}
 	}
 	choice, ok := x.choose()
 	if !ok {
-		return nil, nil, &NotRunError{Endpoint: "none", Reason: "no endpoint has room", Busy: true}
+		return nil, nil, &NotExecutedError{Endpoint: "none", Reason: "no endpoint has room", Busy: true}
 	}
 	if x.counted && x.runs > 0 {
 		x.entry.Quota.CountRetry(time.Now(), x.customer)
@@ -174,16 +174,16 @@
 	x.place, x.endpoint = p, p.Life()
 	x.offers++
 	sent := time.Now()
-	answer, err := x.entry.Sender.Send(try, Offer{
-		Request: x.request, Body: x.body, Endpoint: p.Config(), Life: x.endpoint, Deadline: x.deadline,
-		Priority: x.endpointPriority(), Connections: x.connections(),
-		Stream: x.way.streamed, After: x.events.last,
-		Customer: x.customer.GetName(), HideKey: x.table.CustomerCount() > 0 || x.route.GetKeyed(),
+	answer, err := x.entry.Sender.Send(try, EndpointRequest{
+		Request: x.request, Body: x.body, Endpoint: p.Config(), Incarnation: x.endpoint, Deadline: x.deadline,
+		Priority: x.endpointPriority(), MaxConnections: x.connections(),
+		Stream: x.way.streamed, ResumeAfter: x.events.last,
+		Customer: x.customer.GetName(), StripKey: x.table.CustomerCount() > 0 || x.route.GetKeyed(),
 	})
 	done := func(r placement.Result) { p.Done(time.Now(), r) }
 	unreached := x.tell(p, err)
 	if err != nil {
-		var notRun *NotRunError
+		var notRun *NotExecutedError
 		// A full endpoint is not at fault; nor is one whose client left soon.
 		left := ctx.Err() != nil && time.Since(sent) < hungAfter
 		busy := errors.As(err, &notRun) && notRun.Busy
@@ -209,9 +209,9 @@
 		x.entry.domains.clear(p.Domain())
 		return false
 	}
-	var notRun *NotRunError
-	var lost *BrokenError
-	if errors.As(err, &notRun) && notRun.Silent || errors.As(err, &lost) && lost.Silent {
+	var notRun *NotExecutedError
+	var lost *OutcomeUnknownError
+	if errors.As(err, &notRun) && notRun.NoResponse || errors.As(err, &lost) && lost.NoResponse {
 		x.entry.domains.suspect(p.Domain(), time.Now())
 		return true
 	}
@@ -226,7 +226,7 @@
 // stop says how a request ends after a failed attempt, or nil if it may be offered
 // again.
 func (x *exchange) stop(ctx context.Context, err error) Outcome {
-	var notRun *NotRunError
+	var notRun *NotExecutedError
 	if errors.As(err, &notRun) {
 		return x.stopNotRun(ctx, notRun)
 	}
@@ -236,28 +236,28 @@
 	case ctx.Err() == nil && x.canRetry():
 		return nil
 	case x.started:
-		return Cut{Reason: err.Error()}
+		return Aborted{Reason: err.Error()}
 	case ctx.Err() != nil:
-		return Refused{Status: http.StatusGatewayTimeout, Reason: err.Error()}
+		return Rejected{Status: http.StatusGatewayTimeout, Reason: err.Error()}
 	}
-	return Refused{Status: http.StatusBadGateway, Reason: err.Error()}
+	return Rejected{Status: http.StatusBadGateway, Reason: err.Error()}
 }
 
 // stopNotRun is stop for an offer that the endpoint certainly did not run.
-func (x *exchange) stopNotRun(ctx context.Context, err *NotRunError) Outcome {
+func (x *exchange) stopNotRun(ctx context.Context, err *NotExecutedError) Outcome {
 	switch {
 	case ctx.Err() == nil && x.offers < maxOffers && err.Endpoint != "none":
 		return nil
 	case x.started:
-		return Cut{Reason: err.Error()}
+		return Aborted{Reason: err.Error()}
 	case x.runs > 0 && ctx.Err() != nil:
-		return Refused{Status: http.StatusGatewayTimeout, Reason: err.Error()}
+		return Rejected{Status: http.StatusGatewayTimeout, Reason: err.Error()}
 	case x.runs > 0:
-		return Refused{Status: http.StatusBadGateway, Reason: err.Error()}
+		return Rejected{Status: http.StatusBadGateway, Reason: err.Error()}
 	case ctx.Err() != nil:
-		return Refused{Status: http.StatusServiceUnavailable, Reason: err.Error()}
+		return Rejected{Status: http.StatusServiceUnavailable, Reason: err.Error()}
 	}
-	return Refused{Status: http.StatusServiceUnavailable, RetryAfter: later, Reason: err.Error()}
+	return Rejected{Status: http.StatusServiceUnavailable, RetryAfter: later, Reason: err.Error()}
 }
 
 // canRetry reports whether a request that may have run may be offered again.
--- a/rockbarrow/entry/gate.go
+++ b/rockbarrow/entry/gate.go
@@ -145,9 +145,9 @@
 		return leave, nil
 	}
 	if reject, ok := act.(limiter.Reject); ok {
-		return nil, Refused{Status: http.StatusServiceUnavailable, RetryAfter: reject.RetryAfter, Reason: "all places at endpoints are taken by programs under way"}
+		return nil, Rejected{Status: http.StatusServiceUnavailable, RetryAfter: reject.RetryAfter, Reason: "all places at endpoints are taken by programs under way"}
 	}
-	return nil, Refused{Status: http.StatusServiceUnavailable, RetryAfter: later, Reason: "no place at an endpoint within its time"}
+	return nil, Rejected{Status: http.StatusServiceUnavailable, RetryAfter: later, Reason: "no place at an endpoint within its time"}
 }
 
 // arrival is the request as its limiter sees it.
--- a/rockbarrow/entry/gate_test.go
+++ b/rockbarrow/entry/gate_test.go
@@ -23,13 +23,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		view := startStores(t)
 		asked, release := make(chan string, 100), make(chan struct{})
-		e := newStreamEntry(t, view, senderFunc(func(ctx context.Context, o Offer) (*Answer, error) {
+		e := newStreamEntry(t, view, senderFunc(func(ctx context.Context, o EndpointRequest) (*Response, error) {
 			asked <- o.Request.Program
 			select {
 			case <-release:
 			case <-ctx.Done():
 			}
-			return &Answer{Status: 200, Header: http.Header{}, Length: -1, Body: io.NopCloser(strings.NewReader(events(1, 3)))}, nil
+			return &Response{Status: 200, Header: http.Header{}, ContentLength: -1, Body: io.NopCloser(strings.NewReader(events(1, 3)))}, nil
 		}))
 		e.Decode = func([]byte) (*fleetpb.Document, error) {
 			d := streams()
@@ -54,7 +54,7 @@
 		ask(places, "known")
 		awaitWaiting(t, e)
 		ask(1000, "new")
-		o, ok := (<-ended).(Refused)
+		o, ok := (<-ended).(Rejected)
 		if !ok || o.Status != http.StatusServiceUnavailable || o.RetryAfter <= 0 {
 			t.Fatalf("%#v, want a refusal with a time to come back", o)
 		}
@@ -64,7 +64,7 @@
 		}
 		close(release)
 		for range places + 1 {
-			if o := <-ended; o != (Answered{}) {
+			if o := <-ended; o != (Completed{}) {
 				t.Errorf("%#v", o)
 			}
 		}
@@ -89,7 +89,7 @@
 func TestAWaitingTurnStartsOnceThereAreEndpoints(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		view := startStores(t)
-		e := newStreamEntry(t, view, &fakeSender{answers: []func(Offer) (*Answer, error){answers(200, events(1, 3))}})
+		e := newStreamEntry(t, view, &fakeSender{answers: []func(EndpointRequest) (*Response, error){answers(200, events(1, 3))}})
 		e.Decode = func([]byte) (*fleetpb.Document, error) {
 			d := streams()
 			d.Version, d.Services[0].Slots = 2, 1
@@ -108,7 +108,7 @@
 		}
 		e.Watch.UpdateList(fresh, time.Now())
 		e.refresh()
-		if o := <-ended; o != (Answered{}) {
+		if o := <-ended; o != (Completed{}) {
 			t.Errorf("%#v", o)
 		}
 	})
--- a/rockbarrow/entry/lives_test.go
+++ b/rockbarrow/entry/lives_test.go
@@ -28,18 +28,18 @@
 // TestANewLifeIsNotHeldToTheFailuresOfAnOlderOne: an endpoint that had failed and started again under its id got
 // nothing for up to 30 s, although nothing was known of it.
 func TestANewLifeIsNotHeldToTheFailuresOfAnOlderOne(t *testing.T) {
-	s := &fakeSender{answers: []func(Offer) (*Answer, error){broken, broken, broken, answers(200, "ok")}}
+	s := &fakeSender{answers: []func(EndpointRequest) (*Response, error){broken, broken, broken, answers(200, "ok")}}
 	e := newEntry(t, s)
 	e.hear(lifeOf(2, 1000))
 	for range 3 {
 		e.Serve(t.Context(), ask("/once/1"), &fakeOut{})
 	}
-	if out := e.Serve(t.Context(), ask("/once/1"), &fakeOut{}); out == (Answered{}) {
+	if out := e.Serve(t.Context(), ask("/once/1"), &fakeOut{}); out == (Completed{}) {
 		t.Fatal("an endpoint that fails is still used")
 	}
 	// A clock that has stepped back makes no difference.
 	e.hear(lifeOf(3, 900))
-	if out := e.Serve(t.Context(), ask("/once/1"), &fakeOut{}); out != (Answered{}) {
+	if out := e.Serve(t.Context(), ask("/once/1"), &fakeOut{}); out != (Completed{}) {
 		t.Errorf("%v, want an answer of the new life", out)
 	}
 }
@@ -49,7 +49,7 @@
 func TestALineLeavesAnEndpointThatStartedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		view := startStores(t)
-		s := &fakeSender{answers: []func(Offer) (*Answer, error){answers(200, events(1, 3))}}
+		s := &fakeSender{answers: []func(EndpointRequest) (*Response, error){answers(200, events(1, 3))}}
 		e := newStreamEntry(t, view, s)
 		number := uint64(10)
 		hear := func(born func(id string) uint64) {
@@ -92,7 +92,7 @@
 // TestAListThatLagsBringsNoEndedLifeBack: a life that has left is not the one before it, which a list that lags still
 // tells as ready.
 func TestAListThatLagsBringsNoEndedLifeBack(t *testing.T) {
-	s := &fakeSender{answers: []func(Offer) (*Answer, error){answers(200, "ok")}}
+	s := &fakeSender{answers: []func(EndpointRequest) (*Response, error){answers(200, "ok")}}
 	e := newEntry(t, s)
 	e.hear(lifeOf(2, 1000))
 	e.hear(lifeOf(3, 2000))
@@ -100,18 +100,18 @@
 	leaving.Endpoints[0].Draining = true
 	e.hear(leaving)
 	e.hear(lifeOf(5, 1000))
-	if out := e.Serve(t.Context(), ask("/once/1"), &fakeOut{}); out == (Answered{}) {
+	if out := e.Serve(t.Context(), ask("/once/1"), &fakeOut{}); out == (Completed{}) {
 		t.Error("a list that lags brought an endpoint back that is leaving")
 	}
 	e.hear(lifeOf(6, 3000))
-	if out := e.Serve(t.Context(), ask("/once/1"), &fakeOut{}); out != (Answered{}) {
+	if out := e.Serve(t.Context(), ask("/once/1"), &fakeOut{}); out != (Completed{}) {
 		t.Errorf("%v, want an answer of the life after", out)
 	}
 }
 
 // TestLoadsOfAnEndedLifeDoNotCount: a list that lags, and the loads that go with it, speak of the life before.
 func TestLoadsOfAnEndedLifeDoNotCount(t *testing.T) {
-	s := &fakeSender{answers: []func(Offer) (*Answer, error){answers(200, "ok")}}
+	s := &fakeSender{answers: []func(EndpointRequest) (*Response, error){answers(200, "ok")}}
 	e := newEntry(t, s)
 	e.hear(lifeOf(2, 1000))
 	e.hear(lifeOf(3, 2000))
@@ -129,7 +129,7 @@
 }
 
 // reconnected is an answer over a connection that took the place of one that the endpoint had closed.
-func reconnected(o Offer) (*Answer, error) {
+func reconnected(o EndpointRequest) (*Response, error) {
 	a, err := answers(200, "ok")(o)
 	a.Reconnected = true
 	return a, err
@@ -139,12 +139,12 @@
 // of a new start. A full endpoint is none.
 func TestWhatMayBeANewStartIsTold(t *testing.T) {
 	for name, tt := range map[string]struct {
-		answer func(Offer) (*Answer, error)
+		answer func(EndpointRequest) (*Response, error)
 		want   uint64
 	}{
 		"answered": {answers(200, "ok"), 0}, "full": {notRun, 0}, "lost": {broken, 1}, "cut off": {cutOff("par"), 1}, "reconnected": {reconnected, 1},
 	} {
-		e := newEntry(t, &fakeSender{answers: []func(Offer) (*Answer, error){tt.answer}})
+		e := newEntry(t, &fakeSender{answers: []func(EndpointRequest) (*Response, error){tt.answer}})
 		e.hear(lifeOf(2, 1000))
 		e.Serve(t.Context(), ask("/once/1"), &fakeOut{})
 		var lost uint64
@@ -163,7 +163,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		view := startStores(t)
 		for _, path := range []string{"r", "k"} {
-			s := &fakeSender{answers: []func(Offer) (*Answer, error){answers(200, events(1, 3))}}
+			s := &fakeSender{answers: []func(EndpointRequest) (*Response, error){answers(200, events(1, 3))}}
 			for n, born := range []uint64{1000, 2000} {
 				e := newStreamEntry(t, view, s)
 				e.hear(lifeOf(10, born))
--- a/rockbarrow/entry/pass.go
+++ b/rockbarrow/entry/pass.go
@@ -22,7 +22,7 @@
 func (x *exchange) broken(done func(placement.Result), r placement.Result, reason string) error {
 	done(r)
 	x.avoid = append(x.avoid, x.endpoint)
-	return &BrokenError{Endpoint: x.endpoint.EndpointID, Reason: reason}
+	return &OutcomeUnknownError{Endpoint: x.endpoint.EndpointID, Reason: reason}
 }
 
 // lost notes that the endpoint ended the answer midway, unless the client has left.
@@ -34,7 +34,7 @@
 
 // passWhole hands an answer on that is not events. It returns an error if the answer
 // was lost before its first byte was passed on.
-func (x *exchange) passWhole(ctx context.Context, a *Answer, done func(placement.Result)) (Outcome, error) {
+func (x *exchange) passWhole(ctx context.Context, a *Response, done func(placement.Result)) (Outcome, error) {
 	defer a.Body.Close()
 	if x.started {
 		// Only events can follow the head that the client has.
@@ -55,8 +55,8 @@
 		x.out.Start(a.Status, a.Header, int64(len(whole)))
 		return x.write(whole), nil
 	}
-	x.out.Start(a.Status, a.Header, a.Length)
-	if o := x.write(whole); o != (Answered{}) {
+	x.out.Start(a.Status, a.Header, a.ContentLength)
+	if o := x.write(whole); o != (Completed{}) {
 		done(placement.Result{OK: true})
 		return o, nil
 	}
@@ -64,9 +64,9 @@
 	done(placement.Result{OK: err == nil})
 	if err != nil {
 		x.lost(ctx)
-		return Cut{Reason: err.Error()}, nil
+		return Aborted{Reason: err.Error()}, nil
 	}
-	return Answered{}, nil
+	return Completed{}, nil
 }
 
 // mayFailOver reports whether another endpoint may be asked after this one's own
@@ -78,7 +78,7 @@
 // passEvents hands events on as they come, each one whole: an endpoint may stop inside
 // an event, and another one then begins with the event that the client lacks. It
 // returns an error if the stream broke off.
-func (x *exchange) passEvents(ctx context.Context, a *Answer, done func(placement.Result), p *pauses) (Outcome, error) {
+func (x *exchange) passEvents(ctx context.Context, a *Response, done func(placement.Result), p *pauses) (Outcome, error) {
 	defer a.Body.Close()
 	x.startEvents(a)
 	buf := make([]byte, readSize)
@@ -89,13 +89,13 @@
 			p.event()
 			if failed := x.out.Write(whole); failed != nil {
 				done(placement.Result{OK: true})
-				return Cut{Reason: "the client left: " + failed.Error()}, nil
+				return Aborted{Reason: "the client left: " + failed.Error()}, nil
 			}
 		}
 		switch {
 		case err == io.EOF && x.events.whole():
 			done(placement.Result{OK: true})
-			return Answered{}, nil
+			return Completed{}, nil
 		case err == io.EOF:
 			return nil, x.broken(done, placement.Result{}, "the stream ended inside an event")
 		case err != nil:
@@ -107,7 +107,7 @@
 
 // startEvents passes the head on. Of a stream that is resumed, the client keeps the
 // head of the first endpoint.
-func (x *exchange) startEvents(a *Answer) {
+func (x *exchange) startEvents(a *Response) {
 	if !x.started {
 		x.started, x.status = true, a.Status
 		x.out.Start(a.Status, a.Header, -1)
@@ -117,15 +117,15 @@
 
 func (x *exchange) write(b []byte) Outcome {
 	if err := x.out.Write(b); err != nil {
-		return Cut{Reason: "the client left: " + err.Error()}
+		return Aborted{Reason: "the client left: " + err.Error()}
 	}
-	return Answered{}
+	return Completed{}
 }
 
 // outWriter makes an Out a writer.
-type outWriter struct{ out Out }
+type outWriter struct{ out ResponseWriter }
 
-func writerOf(out Out) io.Writer { return outWriter{out: out} }
+func writerOf(out ResponseWriter) io.Writer { return outWriter{out: out} }
 
 // Write passes a part on.
 func (w outWriter) Write(b []byte) (int, error) {
--- a/rockbarrow/entry/pauses_test.go
+++ b/rockbarrow/entry/pauses_test.go
@@ -15,8 +15,8 @@
 
 // hang is an endpoint behind a cut: the connection stays, and nothing comes any more.
 // Some events may have come before.
-func hang(before string) func(ctx context.Context, o Offer) (*Answer, error) {
-	return func(ctx context.Context, o Offer) (*Answer, error) {
+func hang(before string) func(ctx context.Context, o EndpointRequest) (*Response, error) {
+	return func(ctx context.Context, o EndpointRequest) (*Response, error) {
 		if before == "" {
 			<-ctx.Done()
 			return broken(o)
@@ -24,7 +24,7 @@
 		read, write := io.Pipe()
 		go io.WriteString(write, before)
 		context.AfterFunc(ctx, func() { read.CloseWithError(ctx.Err()) })
-		return &Answer{Status: http.StatusOK, Header: http.Header{}, Length: -1, Body: read}, nil
+		return &Response{Status: http.StatusOK, Header: http.Header{}, ContentLength: -1, Body: read}, nil
 	}
 }
 
@@ -45,9 +45,9 @@
 			name, route, before string
 			want                Outcome
 		}{
-			{"a stream before its first event", "plain", "", Refused{Status: http.StatusBadGateway}},
-			{"a stream in its middle", "plain", event(1), Cut{}},
-			{"a turn that is kept", "k", event(1), Cut{}},
+			{"a stream before its first event", "plain", "", Rejected{Status: http.StatusBadGateway}},
+			{"a stream in its middle", "plain", event(1), Aborted{}},
+			{"a turn that is kept", "k", event(1), Aborted{}},
 		}
 		view := startStores(t)
 		for _, test := range tests {
@@ -57,12 +57,12 @@
 			e.table.Store(nil)
 			e.refresh()
 			switch o := e.Serve(t.Context(), turnOf(test.route, test.name, "p "+test.name, 0), &fakeOut{}).(type) {
-			case Refused:
-				if want, ok := test.want.(Refused); !ok || want.Status != o.Status {
+			case Rejected:
+				if want, ok := test.want.(Rejected); !ok || want.Status != o.Status {
 					t.Errorf("%s: %#v", test.name, o)
 				}
-			case Cut:
-				if _, ok := test.want.(Cut); !ok {
+			case Aborted:
+				if _, ok := test.want.(Aborted); !ok {
 					t.Errorf("%s: %#v", test.name, o)
 				}
 			default:
--- a/rockbarrow/entry/ports.go
+++ b/rockbarrow/entry/ports.go
@@ -50,35 +50,35 @@
 	HasKey bool
 }
 
-// Offer is a request on its way to one endpoint.
-type Offer struct {
+// EndpointRequest is a request on its way to one endpoint.
+type EndpointRequest struct {
 	Request *Request
 	Body    []byte
 	// Endpoint must run it, and no other; Life is what is known of its life.
-	Endpoint *configpb.Endpoint
-	Life     incarnation.ID
+	Endpoint    *configpb.Endpoint
+	Incarnation incarnation.ID
 	// Deadline is when the endpoint is to stop.
 	Deadline time.Time
 	// Priority 0 is the most urgent.
 	Priority uint32
 	// Connections bounds this instance's connections to the endpoint.
-	Connections int
+	MaxConnections int
 	// Stream is true if the answer comes in events.
 	Stream bool
 	// After is the id of the event after which the answer is to go on, or "".
-	After string
+	ResumeAfter string
 	// Customer is whose request it is, or "".
 	Customer string
 	// HideKey is true where keys are asked for: then the client's key is not the endpoint's to see.
-	HideKey bool
+	StripKey bool
 }
 
-// Answer is what an endpoint answered.
-type Answer struct {
+// Response is what an endpoint answered.
+type Response struct {
 	Status int
 	Header http.Header
 	// Length is the length of the body, or -1.
-	Length int64
+	ContentLength int64
 	// Body ends with io.EOF only if the answer is whole. Closing it early ends
 	// the endpoint's work.
 	Body io.ReadCloser
@@ -88,67 +88,67 @@
 
 // Sender carries offers to endpoints.
 type Sender interface {
-	// Send returns the beginning of the answer, a [NotRunError] or a
-	// [BrokenError].
-	Send(ctx context.Context, o Offer) (*Answer, error)
+	// Send returns the beginning of the answer, a [NotExecutedError] or a
+	// [OutcomeUnknownError].
+	Send(ctx context.Context, o EndpointRequest) (*Response, error)
 }
 
-// Out takes the answer to a request.
-type Out interface {
+// ResponseWriter takes the answer to a request.
+type ResponseWriter interface {
 	// Start sends the head. Length is -1 if it is not known.
 	Start(status int, h http.Header, length int64)
 	// Write sends a part of the body at once.
 	Write(b []byte) error
 }
 
-// NotRunError says that an endpoint certainly did not run a request and never
+// NotExecutedError says that an endpoint certainly did not run a request and never
 // will.
-type NotRunError struct {
+type NotExecutedError struct {
 	Endpoint, Reason string
 	// Busy is true if the endpoint was full and not at fault.
 	Busy bool
 	// Silent is true if nothing at all came back on the network.
-	Silent bool
+	NoResponse bool
 }
 
 // Error describes the refusal.
-func (e *NotRunError) Error() string {
+func (e *NotExecutedError) Error() string {
 	return fmt.Sprintf("entry: endpoint %s did not run it: %s", e.Endpoint, e.Reason)
 }
 
-// BrokenError says that an endpoint may have run a request whose answer is lost.
-type BrokenError struct {
+// OutcomeUnknownError says that an endpoint may have run a request whose answer is lost.
+type OutcomeUnknownError struct {
 	Endpoint, Reason string
 	// Silent is true if nothing at all came back on the network.
-	Silent bool
+	NoResponse bool
 }
 
 // Error describes the loss.
-func (e *BrokenError) Error() string {
+func (e *OutcomeUnknownError) Error() string {
 	return fmt.Sprintf("entry: endpoint %s may have run it: %s", e.Endpoint, e.Reason)
 }
 
-// Outcome is how a request ended: [Answered], [Refused] or [Cut].
+// Outcome is how a request ended: [Completed], [Rejected] or [Aborted].
 type Outcome interface{ outcome() }
 
-// Answered says that the whole answer was written.
-type Answered struct{}
+// Completed says that the whole answer was written.
+type Completed struct{}
 
-// Refused says that nothing was written yet and what the client is to be told.
-type Refused struct {
+// Rejected says that nothing was written yet and what the client is to be told.
+type Rejected struct {
 	Status int
 	// RetryAfter is when to come back; zero tells nothing.
 	RetryAfter time.Duration
 	Reason     string
 }
 
-// Cut says that the answer began and can't be ended: the connection must be
+// Aborted says that the answer began and can't be ended: the connection must be
 // closed so that it does not look whole.
-type Cut struct{ Reason string }
+type Aborted struct{ Reason string }
 
-func (Answered) outcome() {}
-func (Refused) outcome()  {}
-func (Cut) outcome()      {}
+func (Completed) outcome() {}
+func (Rejected) outcome()  {}
+func (Aborted) outcome()   {}
 
 // Decode reads a configuration as operators wrote it.
 type Decode func(document []byte) (*fleetpb.Document, error)
--- a/rockbarrow/entry/turn.go
+++ b/rockbarrow/entry/turn.go
@@ -64,7 +64,7 @@
 	start := time.Now()
 	defer func() { x.own += time.Since(start) }()
 	if !x.entry.Stores.ProgramReachable(t.Program) {
-		return nil, Refused{Status: http.StatusServiceUnavailable, RetryAfter: x.entry.retryElsewhere(time.Now()), Reason: "most stores are out of reach"}
+		return nil, Rejected{Status: http.StatusServiceUnavailable, RetryAfter: x.entry.retryElsewhere(time.Now()), Reason: "most stores are out of reach"}
 	}
 	ctx, cancel := context.WithTimeout(ctx, reserveWithin)
 	defer cancel()
@@ -75,11 +75,11 @@
 	case err == nil:
 		return grant, nil
 	case errors.As(err, &over):
-		return nil, Refused{Status: http.StatusPaymentRequired, Reason: err.Error()}
+		return nil, Rejected{Status: http.StatusPaymentRequired, Reason: err.Error()}
 	case errors.As(err, &unknown):
-		return nil, Refused{Status: http.StatusNotFound, Reason: err.Error()}
+		return nil, Rejected{Status: http.StatusNotFound, Reason: err.Error()}
 	}
-	return nil, Refused{Status: http.StatusServiceUnavailable, RetryAfter: later, Reason: err.Error()}
+	return nil, Rejected{Status: http.StatusServiceUnavailable, RetryAfter: later, Reason: err.Error()}
 }
 
 // prompt puts what was said before in front of the new input.
@@ -104,7 +104,7 @@
 	if x.grant == nil {
 		return o
 	}
-	_, answered := o.(Answered)
+	_, answered := o.(Completed)
 	switch {
 	case !x.ran:
 		x.entry.Stores.Release(ctx, x.grant)
@@ -129,9 +129,9 @@
 		Endpoint: x.endpoint.EndpointID, BornMs: x.endpoint.StartMS, RetainMs: x.route.GetRetainMs(), Customer: x.customer.GetName(),
 	})
 	if err != nil {
-		return Cut{Reason: "the turn was not stored: " + err.Error()}
+		return Aborted{Reason: "the turn was not stored: " + err.Error()}
 	}
-	return Answered{}
+	return Completed{}
 }
 
 // spent is the count of tokens: those of the events that came, and of one more that was
--- a/rockbarrow/entry/way.go
+++ b/rockbarrow/entry/way.go
@@ -49,11 +49,11 @@
 		return nil
 	}
 	if _, err := strconv.ParseUint(after, 10, 63); err != nil {
-		return Refused{Status: http.StatusBadRequest, Reason: "the last event id is not a number"}
+		return Rejected{Status: http.StatusBadRequest, Reason: "the last event id is not a number"}
 	}
 	if x.way.history {
 		// Its earlier events were not stored, and the turn is kept only as a whole.
-		return Refused{Status: http.StatusBadRequest, Reason: "a turn whose history is kept starts anew and not after an event"}
+		return Rejected{Status: http.StatusBadRequest, Reason: "a turn whose history is kept starts anew and not after an event"}
 	}
 	if x.way.resumable {
 		x.events.last = after
--- a/rockbarrow/entry/way_test.go
+++ b/rockbarrow/entry/way_test.go
@@ -65,14 +65,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		view := startStores(t)
 		for _, path := range []string{"plain", "k", "r", "kr"} {
-			s := &fakeSender{answers: []func(Offer) (*Answer, error){answers(200, events(1, 3))}}
+			s := &fakeSender{answers: []func(EndpointRequest) (*Response, error){answers(200, events(1, 3))}}
 			var statuses []int
 			for n := range 4 {
 				// Each turn comes to an instance that has never seen the program.
 				e := newStreamEntry(t, view, s)
 				out := &fakeOut{}
 				o := e.Serve(t.Context(), turnOf(path, fmt.Sprint(path, n), path, 20), out)
-				if r, ok := o.(Refused); ok {
+				if r, ok := o.(Rejected); ok {
 					out.status = r.Status
 				}
 				statuses = append(statuses, out.status)
@@ -118,25 +118,25 @@
 		tests := []struct {
 			name, path string
 			budget     uint64
-			answers    []func(Offer) (*Answer, error)
+			answers    []func(EndpointRequest) (*Response, error)
 			// whole is true if the client gets all three events; offers counts endpoints.
 			whole  bool
 			offers int
 			status int
 		}{
-			{"resumed inside an event", "r", 100, []func(Offer) (*Answer, error){cutOff(event(1) + "id: 2\nda"), answers(200, events(2, 3))}, true, 2, 200},
-			{"resumed without a budget", "r", 0, []func(Offer) (*Answer, error){cutOff(event(1)), answers(200, events(2, 3))}, true, 2, 200},
-			{"an endpoint that ends inside an event", "r", 0, []func(Offer) (*Answer, error){answers(200, event(1)+"id: 2\n"), answers(200, events(2, 3))}, true, 2, 200},
-			{"nothing is given twice", "r", 0, []func(Offer) (*Answer, error){cutOff(events(1, 2)), answers(200, events(1, 3))}, true, 2, 200},
-			{"asked again from its start", "r", 0, []func(Offer) (*Answer, error){broken, answers(200, events(1, 3))}, true, 2, 200},
-			{"resumed past one that is full", "r", 0, []func(Offer) (*Answer, error){cutOff(event(1)), notRun, answers(200, events(2, 3))}, true, 3, 200},
-			{"within the attempts", "r", 0, []func(Offer) (*Answer, error){cutOff(event(1)), cutOff(event(2)), answers(200, event(3))}, false, 2, 200},
-			{"its own failure is asked again elsewhere", "r", 0, []func(Offer) (*Answer, error){answers(500, "x"), answers(200, events(1, 3))}, true, 2, 200},
-			{"a failure after the head ends it", "r", 0, []func(Offer) (*Answer, error){cutOff(event(1)), answers(500, "x")}, false, 2, 200},
-			{"not resumable: cut", "plain", 100, []func(Offer) (*Answer, error){cutOff(event(1)), answers(200, events(2, 3))}, false, 1, 200},
-			{"not resumable: not asked again", "plain", 0, []func(Offer) (*Answer, error){broken, answers(200, events(1, 3))}, false, 1, 502},
-			{"history kept: cut", "k", 100, []func(Offer) (*Answer, error){cutOff(event(1)), answers(200, events(2, 3))}, false, 1, 200},
-			{"history kept and resumable", "kr", 100, []func(Offer) (*Answer, error){cutOff(event(1)), answers(200, events(2, 3))}, true, 2, 200},
+			{"resumed inside an event", "r", 100, []func(EndpointRequest) (*Response, error){cutOff(event(1) + "id: 2\nda"), answers(200, events(2, 3))}, true, 2, 200},
+			{"resumed without a budget", "r", 0, []func(EndpointRequest) (*Response, error){cutOff(event(1)), answers(200, events(2, 3))}, true, 2, 200},
+			{"an endpoint that ends inside an event", "r", 0, []func(EndpointRequest) (*Response, error){answers(200, event(1)+"id: 2\n"), answers(200, events(2, 3))}, true, 2, 200},
+			{"nothing is given twice", "r", 0, []func(EndpointRequest) (*Response, error){cutOff(events(1, 2)), answers(200, events(1, 3))}, true, 2, 200},
+			{"asked again from its start", "r", 0, []func(EndpointRequest) (*Response, error){broken, answers(200, events(1, 3))}, true, 2, 200},
+			{"resumed past one that is full", "r", 0, []func(EndpointRequest) (*Response, error){cutOff(event(1)), notRun, answers(200, events(2, 3))}, true, 3, 200},
+			{"within the attempts", "r", 0, []func(EndpointRequest) (*Response, error){cutOff(event(1)), cutOff(event(2)), answers(200, event(3))}, false, 2, 200},
+			{"its own failure is asked again elsewhere", "r", 0, []func(EndpointRequest) (*Response, error){answers(500, "x"), answers(200, events(1, 3))}, true, 2, 200},
+			{"a failure after the head ends it", "r", 0, []func(EndpointRequest) (*Response, error){cutOff(event(1)), answers(500, "x")}, false, 2, 200},
+			{"not resumable: cut", "plain", 100, []func(EndpointRequest) (*Response, error){cutOff(event(1)), answers(200, events(2, 3))}, false, 1, 200},
+			{"not resumable: not asked again", "plain", 0, []func(EndpointRequest) (*Response, error){broken, answers(200, events(1, 3))}, false, 1, 502},
+			{"history kept: cut", "k", 100, []func(EndpointRequest) (*Response, error){cutOff(event(1)), answers(200, events(2, 3))}, false, 1, 200},
+			{"history kept and resumable", "kr", 100, []func(EndpointRequest) (*Response, error){cutOff(event(1)), answers(200, events(2, 3))}, true, 2, 200},
 		}
 		for i, test := range tests {
 			s := &fakeSender{answers: test.answers}
@@ -145,10 +145,10 @@
 			e := newStreamEntry(t, view, s)
 			o := e.Serve(t.Context(), turnOf(test.path, id, id, test.budget), out)
 			status := out.status
-			if r, ok := o.(Refused); ok {
+			if r, ok := o.(Rejected); ok {
 				status = r.Status
 			}
-			whole := o == (Answered{}) && out.body.String() == events(1, 3)
+			whole := o == (Completed{}) && out.body.String() == events(1, 3)
 			if whole != test.whole || len(s.offers) != test.offers || status != test.status {
 				t.Errorf("%s: %#v, status %d, %d offers, body %q", test.name, o, status, len(s.offers), out.body.String())
 			}
@@ -165,28 +165,28 @@
 // TestAResumedStreamGoesOnAfterTheLastWholeEvent looks at what endpoints are asked.
 func TestAResumedStreamGoesOnAfterTheLastWholeEvent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &fakeSender{answers: []func(Offer) (*Answer, error){cutOff(event(6) + "id: 7"), answers(200, event(7))}}
+		s := &fakeSender{answers: []func(EndpointRequest) (*Response, error){cutOff(event(6) + "id: 7"), answers(200, event(7))}}
 		e := newStreamEntry(t, startStores(t), s)
 		r := turnOf("r", "1", "p", 0)
 		r.LastEvent = "5"
 		out := &fakeOut{}
-		if o := e.Serve(t.Context(), r, out); o != (Answered{}) || out.body.String() != events(6, 7) {
+		if o := e.Serve(t.Context(), r, out); o != (Completed{}) || out.body.String() != events(6, 7) {
 			t.Errorf("%#v %q", o, out.body.String())
 		}
-		if s.offers[0].After != "5" || s.offers[1].After != "6" {
-			t.Errorf("asked to go on after %q and %q", s.offers[0].After, s.offers[1].After)
+		if s.offers[0].ResumeAfter != "5" || s.offers[1].ResumeAfter != "6" {
+			t.Errorf("asked to go on after %q and %q", s.offers[0].ResumeAfter, s.offers[1].ResumeAfter)
 		}
 	})
 }
 
 func TestWrongResumptionsAreToldAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &fakeSender{answers: []func(Offer) (*Answer, error){answers(200, events(1, 3))}}
+		s := &fakeSender{answers: []func(EndpointRequest) (*Response, error){answers(200, events(1, 3))}}
 		e := newStreamEntry(t, startStores(t), s)
 		for path, after := range map[string]string{"r": "x", "kr": "2", "k": "2", "plain": "-1"} {
 			r := turnOf(path, path, path, 0)
 			r.LastEvent = after
-			o, ok := e.Serve(t.Context(), r, &fakeOut{}).(Refused)
+			o, ok := e.Serve(t.Context(), r, &fakeOut{}).(Rejected)
 			if !ok || o.Status != http.StatusBadRequest {
 				t.Errorf("%s after %q: %#v", path, after, o)
 			}
@@ -205,8 +205,8 @@
 		for _, path := range []string{"plain", "k", "r", "kr"} {
 			read, write := io.Pipe()
 			out := &stepOut{seen: make(chan string)}
-			e := newStreamEntry(t, view, &fakeSender{answers: []func(Offer) (*Answer, error){func(Offer) (*Answer, error) {
-				return &Answer{Status: 200, Header: http.Header{}, Length: -1, Body: read}, nil
+			e := newStreamEntry(t, view, &fakeSender{answers: []func(EndpointRequest) (*Response, error){func(EndpointRequest) (*Response, error) {
+				return &Response{Status: 200, Header: http.Header{}, ContentLength: -1, Body: read}, nil
 			}}})
 			ended := make(chan Outcome, 1)
 			go func() { ended <- e.Serve(t.Context(), turnOf(path, "step-"+path, "step-"+path, 50), out) }()
@@ -217,7 +217,7 @@
 				}
 			}
 			write.Close()
-			if o := <-ended; o != (Answered{}) {
+			if o := <-ended; o != (Completed{}) {
 				t.Errorf("%s: %#v", path, o)
 			}
 		}
@@ -236,11 +236,11 @@
 		view := startStores(t)
 		for _, path := range []string{"plain", "k", "r"} {
 			asked, ended := make(chan struct{}), make(chan error, 1)
-			e := newStreamEntry(t, view, senderFunc(func(ctx context.Context, o Offer) (*Answer, error) {
+			e := newStreamEntry(t, view, senderFunc(func(ctx context.Context, o EndpointRequest) (*Response, error) {
 				close(asked)
 				<-ctx.Done()
 				ended <- ctx.Err()
-				return nil, &BrokenError{Endpoint: o.Endpoint.GetName(), Reason: "closed"}
+				return nil, &OutcomeUnknownError{Endpoint: o.Endpoint.GetName(), Reason: "closed"}
 			}))
 			ctx, leave := context.WithCancel(t.Context())
 			go e.Serve(ctx, turnOf(path, "left-"+path, "left-"+path, 50), &fakeOut{})
@@ -253,16 +253,16 @@
 	})
 }
 
-type senderFunc func(ctx context.Context, o Offer) (*Answer, error)
+type senderFunc func(ctx context.Context, o EndpointRequest) (*Response, error)
 
-func (f senderFunc) Send(ctx context.Context, o Offer) (*Answer, error) { return f(ctx, o) }
+func (f senderFunc) Send(ctx context.Context, o EndpointRequest) (*Response, error) { return f(ctx, o) }
 
 // TestALineStaysWithItsEndpoint: programs whose history is not kept here, too, also at an
 // instance that has not seen them.
 func TestALineStaysWithItsEndpoint(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		view := startStores(t)
-		s := &fakeSender{answers: []func(Offer) (*Answer, error){answers(200, events(1, 3))}}
+		s := &fakeSender{answers: []func(EndpointRequest) (*Response, error){answers(200, events(1, 3))}}
 		for n := range 6 {
 			e := newStreamEntry(t, view, s)
 			e.Serve(t.Context(), turnOf("r", fmt.Sprint("stay", n), "stay", 500), &fakeOut{})
@@ -279,10 +279,10 @@
 func TestNothingIsChargedForWhatDidNotRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		view := startStores(t)
-		e := newStreamEntry(t, view, &fakeSender{answers: []func(Offer) (*Answer, error){notRun}})
+		e := newStreamEntry(t, view, &fakeSender{answers: []func(EndpointRequest) (*Response, error){notRun}})
 		for n := range 3 {
 			o := e.Serve(t.Context(), turnOf("r", fmt.Sprint("void", n), "void", 1000), &fakeOut{})
-			if r, ok := o.(Refused); !ok || r.Status != http.StatusServiceUnavailable {
+			if r, ok := o.(Rejected); !ok || r.Status != http.StatusServiceUnavailable {
 				t.Fatalf("%#v", o)
 			}
 			// Only if nothing of the turn before counts.
@@ -299,7 +299,7 @@
 func TestARequestLeavesAnEndpointThatFallsSilent(t *testing.T) {
 	for path, want := range map[string]int{"/repeat/1": 200, "/once/1": 504} {
 		n := 0
-		e := newEntry(t, senderFunc(func(ctx context.Context, o Offer) (*Answer, error) {
+		e := newEntry(t, senderFunc(func(ctx context.Context, o EndpointRequest) (*Response, error) {
 			if n++; n > 1 {
 				return answers(200, "ok")(o)
 			}
@@ -309,7 +309,7 @@
 		r := ask(path)
 		r.Wait = 200 * time.Millisecond
 		out := &fakeOut{}
-		if o, ok := e.Serve(t.Context(), r, out).(Refused); ok {
+		if o, ok := e.Serve(t.Context(), r, out).(Rejected); ok {
 			out.status = o.Status
 		}
 		if out.status != want {
@@ -322,17 +322,17 @@
 func TestAStreamThatStandsStillIsResumed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := 0
-		e := newStreamEntry(t, startStores(t), senderFunc(func(ctx context.Context, o Offer) (*Answer, error) {
+		e := newStreamEntry(t, startStores(t), senderFunc(func(ctx context.Context, o EndpointRequest) (*Response, error) {
 			if n++; n > 1 {
 				return answers(200, events(2, 3))(o)
 			}
 			read, write := io.Pipe()
 			go io.WriteString(write, event(1))
 			context.AfterFunc(ctx, func() { read.CloseWithError(ctx.Err()) })
-			return &Answer{Status: 200, Header: http.Header{}, Length: -1, Body: read}, nil
+			return &Response{Status: 200, Header: http.Header{}, ContentLength: -1, Body: read}, nil
 		}))
 		out := &fakeOut{}
-		if o := e.Serve(t.Context(), turnOf("r", "1", "p", 0), out); o != (Answered{}) || out.body.String() != events(1, 3) {
+		if o := e.Serve(t.Context(), turnOf("r", "1", "p", 0), out); o != (Completed{}) || out.body.String() != events(1, 3) {
 			t.Errorf("%#v %q", o, out.body.String())
 		}
 	})
