--- a/rockbarrow/entry/customer.go
+++ b/rockbarrow/entry/customer.go
@@ -79,7 +79,7 @@
 
 // isFirstTurn reports whether the request is the first turn of a new program.
 func (x *exchange) isFirstTurn() bool {
-	return x.way.streamed && x.request.Previous == "" && x.request.LastEvent == ""
+	return x.way.streamed && x.request.PreviousTurn == "" && x.request.LastEventID == ""
 }
 
 // refundQuota lets another request in if this one certainly did not run.
--- a/rockbarrow/entry/customer_test.go
+++ b/rockbarrow/entry/customer_test.go
@@ -315,7 +315,7 @@
 		d.Version = 2
 		e.take(t, d)
 		r := askAs("ka", test.path)
-		r.Previous, r.LastEvent = test.previous, test.event
+		r.PreviousTurn, r.LastEventID = test.previous, test.event
 		o, ok := e.Serve(t.Context(), r, &fakeOut{}).(Rejected)
 		if asked != 1 || !ok || o.Status != http.StatusTooManyRequests || o.RetryAfter != after {
 			t.Errorf("%s: %+v after %d questions", name, o, asked)
@@ -355,7 +355,7 @@
 			e.take(t, d)
 			e.Lease = &lease.Lease{}
 			r := turnOf("k", id, "p", 1000)
-			r.Key, r.HasKey, r.Previous = routing.DigestKey(secret), true, previous
+			r.Key, r.HasKey, r.PreviousTurn = routing.DigestKey(secret), true, previous
 			out := &fakeOut{}
 			return statusOf(e.Serve(t.Context(), r, out), out)
 		}
--- a/rockbarrow/entry/entry.go
+++ b/rockbarrow/entry/entry.go
@@ -185,8 +185,8 @@
 	x := &exchange{entry: e, request: req, table: t, route: route, out: out}
 	x.service = t.Service(routing.PickService(route, x.splitKey()))
 	x.deadline = req.Arrived.Add(time.Duration(route.GetTimeoutMs()) * time.Millisecond)
-	if req.Wait > 0 && req.Arrived.Add(req.Wait).Before(x.deadline) {
-		x.deadline = req.Arrived.Add(req.Wait)
+	if req.ClientTimeout > 0 && req.Arrived.Add(req.ClientTimeout).Before(x.deadline) {
+		x.deadline = req.Arrived.Add(req.ClientTimeout)
 	}
 	ctx, cancel := context.WithDeadline(ctx, x.deadline)
 	defer cancel()
@@ -243,10 +243,10 @@
 		return o
 	}
 	e.Log.WithFields(logrus.Fields{
-		"request": r.ID, "program": r.Program, "previous": r.Previous, "route": x.route.GetName(),
+		"request": r.ID, "program": r.Program, "previous": r.PreviousTurn, "route": x.route.GetName(),
 		"service": x.service.GetName(), "customer": x.customer.GetName(), "endpoint": x.endpoint.EndpointID, "offers": x.offers, "status": status,
 		"reason": reason, "config_version": x.table.Version(), "list": x.list, "list_age_ms": x.listAge,
-		"took_ms": took.Milliseconds(), "own_ms": x.own.Milliseconds(), "waited_ms": x.waited.Milliseconds(), "left_ms": r.Finish.Milliseconds(),
+		"took_ms": took.Milliseconds(), "own_ms": x.own.Milliseconds(), "waited_ms": x.waited.Milliseconds(), "left_ms": r.TimeToFinish.Milliseconds(),
 	}).Log(level, "request ended")
 	return o
 }
--- a/rockbarrow/entry/exchange.go
+++ b/rockbarrow/entry/exchange.go
@@ -73,7 +73,7 @@
 // splitKey keeps a program's turns on one service while the weights stay.
 func (x *exchange) splitKey() string {
 	r := x.request
-	for _, key := range []string{r.Program, r.Affinity} {
+	for _, key := range []string{r.Program, r.AffinityKey} {
 		if key != "" {
 			return key
 		}
@@ -148,7 +148,7 @@
 	}
 	return f.Choose(now, placement.Request{
 		Class:        placement.Class{Service: x.service.GetName()},
-		PromptTokens: int64(x.request.Prompt), OutputTokens: int64(x.request.Most),
+		PromptTokens: int64(x.request.PromptTokens), OutputTokens: int64(x.request.MaxAnswerTokens),
 		LastEndpoint: x.last, AvoidEndpoints: x.avoid, Domain: x.entry.Domain, AvoidDomains: x.entry.domains.avoid(now),
 	}, source())
 }
--- a/rockbarrow/entry/gate.go
+++ b/rockbarrow/entry/gate.go
@@ -155,8 +155,8 @@
 	r := x.request
 	spent := time.Since(r.Arrived)
 	return limiter.Arrived{
-		InProgress: r.Previous != "" || x.last.EndpointID != "" || r.LastEvent != "",
-		Remaining:  r.Finish - spent, HasDeadline: r.HasFinish,
+		InProgress: r.PreviousTurn != "" || x.last.EndpointID != "" || r.LastEventID != "",
+		Remaining:  r.TimeToFinish - spent, HasDeadline: r.HasTimeToFinish,
 		MaxWait: time.Duration(x.route.GetObjectiveMs())*time.Millisecond - spent, ClientTimeout: x.clientPatience() - spent,
 		Priority: x.priority(), Customer: x.customer.GetName(), Weight: x.customer.GetRequestsPerSecond(),
 	}
--- a/rockbarrow/entry/lives_test.go
+++ b/rockbarrow/entry/lives_test.go
@@ -169,7 +169,7 @@
 				e.hear(lifeOf(10, born))
 				r := turnOf(path, fmt.Sprint(path, n), "kept-"+path, 500)
 				if n > 0 && path == "k" {
-					r.Previous = path + "0"
+					r.PreviousTurn = path + "0"
 				}
 				x := &exchange{entry: e, request: r, table: e.table.Load(), route: routeOf(t, e, r)}
 				if n == 0 {
--- a/rockbarrow/entry/ports.go
+++ b/rockbarrow/entry/ports.go
@@ -28,23 +28,23 @@
 	Body []byte
 	// Arrived is when the request was read; Wait is how long the client waits
 	// from then on, zero if it did not say.
-	Arrived time.Time
-	Wait    time.Duration
+	Arrived       time.Time
+	ClientTimeout time.Duration
 	// Program, Line, Previous and Budget describe a turn: the program, the line of
 	// turns in it, the turn before and the tokens of all its turns.
-	Program, Line, Previous string
-	Budget                  uint64
+	Program, Session, PreviousTurn string
+	BudgetTokens                   uint64
 	// Prompt and Most are the tokens of the prompt, and of the longest answer.
-	Prompt, Most uint64
+	PromptTokens, MaxAnswerTokens uint64
 	// LastEvent is the id of the last event that the client has of an earlier answer to
 	// the same request, or "".
-	LastEvent string
+	LastEventID string
 	// Finish is the time left on arrival until the program should be over, where
 	// HasFinish says that the client told it.
-	Finish    time.Duration
-	HasFinish bool
+	TimeToFinish    time.Duration
+	HasTimeToFinish bool
 	// Affinity names the object that the request is about, or is "".
-	Affinity string
+	AffinityKey string
 	// Key is the digest of the customer's key, where HasKey says that there is one.
 	Key    routing.KeyDigest
 	HasKey bool
--- a/rockbarrow/entry/turn.go
+++ b/rockbarrow/entry/turn.go
@@ -38,7 +38,7 @@
 	if x.way.history {
 		x.body = x.prompt(grant)
 	} else {
-		x.last = x.entry.lines.find(x.request.Program, x.request.Line, grant.Endpoint())
+		x.last = x.entry.lines.find(x.request.Program, x.request.Session, grant.Endpoint())
 	}
 	return nil
 }
@@ -46,7 +46,7 @@
 func (x *exchange) reservation() stores.Turn {
 	r := x.request
 	t := stores.Turn{
-		ID: r.ID, Program: r.Program, Customer: x.customer.GetName(), Previous: r.Previous, MaxTokens: r.Most, Budget: r.Budget,
+		ID: r.ID, Program: r.Program, Customer: x.customer.GetName(), Previous: r.PreviousTurn, MaxTokens: r.MaxAnswerTokens, Budget: r.BudgetTokens,
 		Retention: time.Duration(x.route.GetRetainMs()) * time.Millisecond,
 	}
 	if t.Program == "" {
@@ -111,7 +111,7 @@
 	case x.started && answered && x.way.history:
 		return x.keep(ctx)
 	case x.started || answered:
-		x.entry.lines.add(x.request.Program, x.request.Line, x.endpoint)
+		x.entry.lines.add(x.request.Program, x.request.Session, x.endpoint)
 		x.entry.Stores.SettleAsync(ctx, x.grant, x.spent(answered), x.endpoint)
 	}
 	return o
@@ -125,7 +125,7 @@
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), max(settleAtLeast, time.Until(x.deadline)))
 	defer cancel()
 	err := x.entry.Stores.Settle(ctx, x.grant, x.spent(true), &fleetpb.Turn{
-		Id: x.request.ID, Previous: x.request.Previous, Home: x.grant.Home(), Input: x.request.Body, Output: x.events.output,
+		Id: x.request.ID, Previous: x.request.PreviousTurn, Home: x.grant.Home(), Input: x.request.Body, Output: x.events.output,
 		Endpoint: x.endpoint.EndpointID, BornMs: x.endpoint.StartMS, RetainMs: x.route.GetRetainMs(), Customer: x.customer.GetName(),
 	})
 	if err != nil {
@@ -138,7 +138,7 @@
 // under way where a stream broke off. An answer that is not events has none unless it
 // is a success, of which only the most is known.
 func (x *exchange) spent(whole bool) uint64 {
-	most := x.request.Most
+	most := x.request.MaxAnswerTokens
 	each := uint64(x.service.GetTokensPerEvent())
 	switch {
 	case !x.started && x.status >= http.StatusBadRequest:
--- a/rockbarrow/entry/way.go
+++ b/rockbarrow/entry/way.go
@@ -32,7 +32,7 @@
 func wayOf(r *fleetpb.Route, req *Request) way {
 	streamed := r.GetKind() == fleetpb.RouteKind_ROUTE_KIND_STREAM
 	w := way{streamed: streamed, history: streamed && r.GetHistory(), resumable: streamed && r.GetResumable()}
-	w.reserved = w.history || req.Budget > 0
+	w.reserved = w.history || req.BudgetTokens > 0
 	w.repeatable = w.resumable || r.GetKind() == fleetpb.RouteKind_ROUTE_KIND_REPEATABLE
 	return w
 }
@@ -44,7 +44,7 @@
 // resumption takes up where a client's earlier stream broke off. It returns what the
 // client hears if that can't be.
 func (x *exchange) resumption() Outcome {
-	after := x.request.LastEvent
+	after := x.request.LastEventID
 	if after == "" || !x.way.streamed {
 		return nil
 	}
--- a/rockbarrow/entry/way_test.go
+++ b/rockbarrow/entry/way_test.go
@@ -44,7 +44,7 @@
 // turnOf asks for a turn of a program.
 func turnOf(path, id, program string, budget uint64) *Request {
 	r := ask("/" + path + "/1")
-	r.ID, r.Program, r.Budget, r.Most = id, program, budget, 9
+	r.ID, r.Program, r.BudgetTokens, r.MaxAnswerTokens = id, program, budget, 9
 	return r
 }
 
@@ -168,7 +168,7 @@
 		s := &fakeSender{answers: []func(EndpointRequest) (*Response, error){cutOff(event(6) + "id: 7"), answers(200, event(7))}}
 		e := newStreamEntry(t, startStores(t), s)
 		r := turnOf("r", "1", "p", 0)
-		r.LastEvent = "5"
+		r.LastEventID = "5"
 		out := &fakeOut{}
 		if o := e.Serve(t.Context(), r, out); o != (Completed{}) || out.body.String() != events(6, 7) {
 			t.Errorf("%#v %q", o, out.body.String())
@@ -185,7 +185,7 @@
 		e := newStreamEntry(t, startStores(t), s)
 		for path, after := range map[string]string{"r": "x", "kr": "2", "k": "2", "plain": "-1"} {
 			r := turnOf(path, path, path, 0)
-			r.LastEvent = after
+			r.LastEventID = after
 			o, ok := e.Serve(t.Context(), r, &fakeOut{}).(Rejected)
 			if !ok || o.Status != http.StatusBadRequest {
 				t.Errorf("%s after %q: %#v", path, after, o)
@@ -307,7 +307,7 @@
 			return broken(o)
 		}))
 		r := ask(path)
-		r.Wait = 200 * time.Millisecond
+		r.ClientTimeout = 200 * time.Millisecond
 		out := &fakeOut{}
 		if o, ok := e.Serve(t.Context(), r, out).(Rejected); ok {
 			out.status = o.Status
