--- a/rockbarrow/entry/entry.go
+++ b/rockbarrow/entry/entry.go
@@ -44,8 +44,8 @@
 	Sender Sender
 	// Decode reads whole configurations, FetchTable gets what changed. Without FetchTable
 	// each configuration has its document.
-	Decode     Decode
-	FetchTable FetchTable
+	Decode     DecodeFunc
+	FetchTable FetchTableFunc
 	Log        *logrus.Entry
 	Metrics    tally.Scope
 	// Lease says whether the keys of a table may be trusted, and Quota counts customers' requests.
@@ -80,7 +80,7 @@
 func (e *Entry) Init() { e.tableUpdates, e.listUpdates = newSignal(), newSignal() }
 
 // Wake takes over what is new; package watch calls it.
-func (e *Entry) Wake() {
+func (e *Entry) NotifyChanged() {
 	e.tableUpdates.wake()
 	e.listUpdates.wake()
 }
@@ -94,7 +94,7 @@
 
 // Ready reports whether the balancer should send connections here, or why not.
 func (e *Entry) Ready() (bool, string) {
-	if serves, why := e.Serves(); !serves {
+	if serves, why := e.CanServe(); !serves {
 		return false, why
 	}
 	if e.Watch.State().GetView().GetEpoch() == 0 {
@@ -107,7 +107,7 @@
 }
 
 // Serves reports whether this instance can serve requests, or why not.
-func (e *Entry) Serves() (bool, string) {
+func (e *Entry) CanServe() (bool, string) {
 	switch {
 	case e.stopped.Load():
 		return false, "stopping"
@@ -155,7 +155,7 @@
 }
 
 // Stop makes the entry say that it is not ready. It goes on to serve.
-func (e *Entry) Stop() { e.stopped.Store(true) }
+func (e *Entry) SetStopping() { e.stopped.Store(true) }
 
 // InFlight returns the number of requests under way.
 func (e *Entry) InFlight() int64 { return e.inFlight.Load() }
--- a/rockbarrow/entry/entry_test.go
+++ b/rockbarrow/entry/entry_test.go
@@ -267,7 +267,7 @@
 		if ready, why := e.Ready(); ready != test.ready {
 			t.Errorf("%s: ready %v %s", test.name, ready, why)
 		}
-		if serves, _ := e.Serves(); !serves {
+		if serves, _ := e.CanServe(); !serves {
 			t.Errorf("%s: the instance says that it does not serve, and so keeps others back too", test.name)
 		}
 	}
@@ -319,7 +319,7 @@
 			t.Errorf("%s fails for others and got a request", o.Endpoint.GetName())
 		}
 	}
-	if uses := e.Uses(); len(uses) != 1 || uses[0].Life.EndpointID != "z" || uses[0].Answered != 6 {
+	if uses := e.EndpointUses(); len(uses) != 1 || uses[0].Life.EndpointID != "z" || uses[0].Answered != 6 {
 		t.Errorf("%v, want six answered calls at z", uses)
 	}
 }
--- a/rockbarrow/entry/lives_test.go
+++ b/rockbarrow/entry/lives_test.go
@@ -148,7 +148,7 @@
 		e.hear(lifeOf(2, 1000))
 		e.Serve(t.Context(), ask("/once/1"), &fakeOut{})
 		var lost uint64
-		for _, u := range e.Uses() {
+		for _, u := range e.EndpointUses() {
 			lost += u.Lost
 		}
 		if lost != tt.want {
--- a/rockbarrow/entry/loads.go
+++ b/rockbarrow/entry/loads.go
@@ -12,7 +12,7 @@
 )
 
 // Uses returns the own calls at endpoints, for other entry instances.
-func (e *Entry) Uses() []watch.EndpointUse {
+func (e *Entry) EndpointUses() []watch.EndpointUse {
 	f := e.fleet.Load()
 	if f == nil {
 		return nil
--- a/rockbarrow/entry/ports.go
+++ b/rockbarrow/entry/ports.go
@@ -151,8 +151,8 @@
 func (Aborted) outcome()   {}
 
 // Decode reads a configuration as operators wrote it.
-type Decode func(document []byte) (*fleetpb.Document, error)
+type DecodeFunc func(document []byte) (*fleetpb.Document, error)
 
 // FetchTable makes a table of at least a version of the one held. With an error it returns
 // how far it came.
-type FetchTable func(ctx context.Context, held *routing.Table, version uint64) (*routing.Table, error)
+type FetchTableFunc func(ctx context.Context, held *routing.Table, version uint64) (*routing.Table, error)
--- a/rockbarrow/entry/updates_test.go
+++ b/rockbarrow/entry/updates_test.go
@@ -27,7 +27,7 @@
 			d.Version = 2
 			return d, nil
 		}
-		e.Watch.OnChange = e.Wake
+		e.Watch.OnChange = e.NotifyChanged
 		ctx, cancel := context.WithCancel(context.Background())
 		go e.Run(ctx)
 		e.Watch.UpdateState(&fleetpb.State{Number: 2, Configuration: &fleetpb.Configuration{Version: 2}, View: &fleetpb.View{Epoch: 1, Copies: 3}})
@@ -64,7 +64,7 @@
 	}
 	synctest.Test(t, func(t *testing.T) {
 		e := newEntry(t, &fakeSender{})
-		e.Watch.OnChange = e.Wake
+		e.Watch.OnChange = e.NotifyChanged
 		var fetched []uint64
 		e.FetchTable = func(_ context.Context, held *routing.Table, version uint64) (*routing.Table, error) {
 			fetched = append(fetched, held.Version())
