--- a/rockbarrow/entry/gate_test.go
+++ b/rockbarrow/entry/admission_test.go
@@ -16,10 +16,10 @@
 	"rockbarrow.dev/schema/fleetpb"
 )
 
-// TestABusyServiceTakesTurnsBeforeNewPrograms: while all places are taken, a new program
+// TestBusyServicePrefersRunningPrograms: while all places are taken, a new program
 // is told at once when to come back and costs nothing, and a turn of a program under way
 // waits and goes first.
-func TestABusyServiceTakesTurnsBeforeNewPrograms(t *testing.T) {
+func TestBusyServicePrefersRunningPrograms(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		view := startStores(t)
 		asked, release := make(chan string, 100), make(chan struct{})
@@ -32,7 +32,7 @@
 			return &Response{Status: 200, Header: http.Header{}, ContentLength: -1, Body: io.NopCloser(strings.NewReader(events(1, 3)))}, nil
 		}))
 		e.Decode = func([]byte) (*fleetpb.Document, error) {
-			d := streams()
+			d := streamDocument()
 			d.Version, d.Services[0].Slots = 2, 1
 			return d, nil
 		}
@@ -41,11 +41,11 @@
 		ended := make(chan Outcome, 100)
 		ask := func(n int, program string) {
 			go func() {
-				ended <- e.Serve(t.Context(), turnOf("r", fmt.Sprint("gate", n), program, 10_000), &fakeOut{})
+				ended <- e.Serve(t.Context(), newTurn("r", fmt.Sprint("gate", n), program, 10_000), &fakeWriter{})
 			}()
 		}
 		// Three endpoints of four places.
-		e.lines.add("known", "", incarnation.ID{EndpointID: "x"})
+		e.sessions.record("known", "", incarnation.ID{EndpointID: "x"})
 		const places = 12
 		for n := range places {
 			ask(n, "known")
@@ -73,10 +73,10 @@
 
 // awaitWaiting returns once a request waits for a place.
 func awaitWaiting(t *testing.T, e *Entry) {
-	g := e.gates.of("s")
+	g := e.limiters.get("s")
 	for t.Context().Err() == nil {
 		g.mu.Lock()
-		n := g.core.Waiting()
+		n := g.limiter.Waiting()
 		g.mu.Unlock()
 		if n > 0 {
 			return
@@ -85,24 +85,24 @@
 	}
 }
 
-// TestAWaitingTurnStartsOnceThereAreEndpoints: also if nothing else arrives or ends.
-func TestAWaitingTurnStartsOnceThereAreEndpoints(t *testing.T) {
+// TestWaitingTurnStartsWhenEndpointsAppear: also if nothing else arrives or ends.
+func TestWaitingTurnStartsWhenEndpointsAppear(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		view := startStores(t)
-		e := newStreamEntry(t, view, &fakeSender{answers: []func(EndpointRequest) (*Response, error){answers(200, events(1, 3))}})
+		e := newStreamEntry(t, view, &fakeSender{answers: []func(EndpointRequest) (*Response, error){respond(200, events(1, 3))}})
 		e.Decode = func([]byte) (*fleetpb.Document, error) {
-			d := streams()
+			d := streamDocument()
 			d.Version, d.Services[0].Slots = 2, 1
 			return d, nil
 		}
 		e.Watch.UpdateState(&fleetpb.State{Number: 3, Configuration: &fleetpb.Configuration{Version: 2}, View: view})
-		e.Watch.UpdateList(list(2, "x", "y", "z"), time.Now())
+		e.Watch.UpdateList(endpointList(2, "x", "y", "z"), time.Now())
 		e.refresh()
-		e.lines.add("known", "", incarnation.ID{EndpointID: "x"})
+		e.sessions.record("known", "", incarnation.ID{EndpointID: "x"})
 		ended := make(chan Outcome, 1)
-		go func() { ended <- e.Serve(t.Context(), turnOf("r", "1", "known", 100), &fakeOut{}) }()
+		go func() { ended <- e.Serve(t.Context(), newTurn("r", "1", "known", 100), &fakeWriter{}) }()
 		awaitWaiting(t, e)
-		fresh := list(3)
+		fresh := endpointList(3)
 		for i, p := range fresh.GetEndpoints() {
 			p.Id = fmt.Sprint("new-", i)
 		}
--- a/rockbarrow/entry/customer.go
+++ b/rockbarrow/entry/customer.go
@@ -12,13 +12,13 @@
 
 // confirmedWithin is how lately the table must have been the newest one for a request to be denied by it: less than the
 // time within which a configuration must be in force everywhere, and a few of the confirmations that come each 0.3 s.
-const confirmedWithin = 1500 * time.Millisecond
+const denialFreshness = 1500 * time.Millisecond
 
 // HasCustomers reports whether the configuration in force has customers, whose quotas every control instance counts.
 func (e *Entry) HasCustomers() bool { return e.table.Load().CustomerCount() > 0 }
 
 // identify finds out whose request it is. It returns what the client hears if the request may not go on.
-func (x *exchange) identify() Outcome {
+func (x *exchange) authenticate() Outcome {
 	now := time.Now()
 	if x.request.HasKey {
 		x.customer, _ = x.table.CustomerByKey(x.request.Key)
@@ -29,7 +29,7 @@
 			x.customer = nil
 		}
 		return nil
-	case x.customer == nil && !x.entry.Lease.WasNewestWithin(now, x.table.Version(), confirmedWithin):
+	case x.customer == nil && !x.entry.Lease.WasNewestWithin(now, x.table.Version(), denialFreshness):
 		return Rejected{Status: http.StatusServiceUnavailable, RetryAfter: x.entry.retryAfterUnconfirmed(now), Reason: "the key is not known here, which may lag behind"}
 	case x.customer == nil:
 		return Rejected{Status: http.StatusUnauthorized, Reason: "no customer holds such a key"}
@@ -52,10 +52,10 @@
 
 // retryAfterUnconfirmed is when a client had better come back that was refused because keys could not be confirmed.
 func (e *Entry) retryAfterUnconfirmed(now time.Time) time.Duration {
-	if e.isCutOff() {
+	if e.isPartitioned() {
 		return e.retryElsewhere(now)
 	}
-	return later
+	return longRetryAfter
 }
 
 // chargeQuota counts the request against its customer's quota. It returns what the client hears if there is no room.
@@ -65,26 +65,26 @@
 	}
 	begun := time.Now()
 	d := x.entry.Quota.Admit(ctx, begun, x.customer, x.isFirstTurn())
-	x.own += time.Since(begun)
-	x.entry.countCustomer(x.customer.GetName(), d)
+	x.ownTime += time.Since(begun)
+	x.entry.recordCustomerMetrics(x.customer.GetName(), d)
 	switch d := d.(type) {
 	case quota.Refused:
-		return Rejected{Status: http.StatusTooManyRequests, RetryAfter: max(d.RetryAfter, soon), Reason: "the customer is at its limit"}
+		return Rejected{Status: http.StatusTooManyRequests, RetryAfter: max(d.RetryAfter, shortRetryAfter), Reason: "the customer is at its limit"}
 	case quota.Unavailable:
-		return Rejected{Status: http.StatusServiceUnavailable, RetryAfter: later, Reason: "the customer's limit could not be looked up"}
+		return Rejected{Status: http.StatusServiceUnavailable, RetryAfter: longRetryAfter, Reason: "the customer's limit could not be looked up"}
 	}
-	x.counted = true
+	x.charged = true
 	return nil
 }
 
 // isFirstTurn reports whether the request is the first turn of a new program.
 func (x *exchange) isFirstTurn() bool {
-	return x.way.streamed && x.request.PreviousTurn == "" && x.request.LastEventID == ""
+	return x.handling.streamed && x.request.PreviousTurn == "" && x.request.LastEventID == ""
 }
 
 // refundQuota lets another request in if this one certainly did not run.
 func (x *exchange) refundQuota() {
-	if x.counted && !x.ran {
+	if x.charged && !x.mayHaveRun {
 		x.entry.Quota.Refund(time.Now(), x.customer)
 	}
 }
@@ -94,7 +94,7 @@
 	// are told.
 	routePriorities = 3
 	// leastUrgent is the last of the ten priorities that endpoints know.
-	leastUrgent = 9
+	lowestEndpointPriority = 9
 )
 
 // priority is how urgent the request is among those that wait here: the customer's priority goes before that of the
@@ -109,11 +109,11 @@
 	if x.customer == nil {
 		return x.route.GetPriority()
 	}
-	return min(x.customer.GetPriority(), leastUrgent)*routePriorities + min(x.route.GetPriority(), routePriorities-1)
+	return min(x.customer.GetPriority(), lowestEndpointPriority)*routePriorities + min(x.route.GetPriority(), routePriorities-1)
 }
 
 // countCustomer counts what became of a request of a customer.
-func (e *Entry) countCustomer(customer string, d quota.Decision) {
+func (e *Entry) recordCustomerMetrics(customer string, d quota.Decision) {
 	name := "customer_requests"
 	switch d.(type) {
 	case quota.Refused:
@@ -121,5 +121,5 @@
 	case quota.Unavailable:
 		name = "customer_unsure"
 	}
-	e.customers.of(e.Metrics, "customer", customer).Counter(name).Inc(1)
+	e.customers.get(e.Metrics, "customer", customer).Counter(name).Inc(1)
 }
--- a/rockbarrow/entry/customer_test.go
+++ b/rockbarrow/entry/customer_test.go
@@ -20,8 +20,8 @@
 )
 
 // keyed returns a document whose routes want keys, but for the first one. Customer a holds key "ka", b holds "kb".
-func keyed(version uint64) *fleetpb.Document {
-	d := document()
+func keyedDocument(version uint64) *fleetpb.Document {
+	d := testDocument()
 	d.Version = version
 	for _, r := range d.Routes[1:] {
 		r.Keyed, r.Priority = true, 1
@@ -34,19 +34,19 @@
 }
 
 // newKeyed returns an entry with the keyed document, which was confirmed just now.
-func newKeyed(t *testing.T, s *fakeSender) *Entry {
+func newKeyedEntry(t *testing.T, s *fakeSender) *Entry {
 	if s.answers == nil {
-		s.answers = []func(EndpointRequest) (*Response, error){answers(200, "ok")}
+		s.answers = []func(EndpointRequest) (*Response, error){respond(200, "ok")}
 	}
 	e := newEntry(t, s)
 	e.Lease = &lease.Lease{TTL: lease.TTL(5 * time.Second)}
-	e.take(t, keyed(2))
+	e.applyDocument(t, keyedDocument(2))
 	e.Lease.Confirm(2, time.Now())
 	return e
 }
 
 // table returns the routing table of a document.
-func table(t *testing.T, d *fleetpb.Document) *routing.Table {
+func newTable(t *testing.T, d *fleetpb.Document) *routing.Table {
 	t.Helper()
 	out, err := routing.New(d)
 	if err != nil {
@@ -56,13 +56,13 @@
 }
 
 // take brings a document into force.
-func (e *Entry) take(t *testing.T, d *fleetpb.Document) {
+func (e *Entry) applyDocument(t *testing.T, d *fleetpb.Document) {
 	t.Helper()
-	e.table.Store(table(t, d))
+	e.table.Store(newTable(t, d))
 }
 
 // offerRoute returns the place of a path's route in the keyed document.
-func offerRoute(path string) int {
+func routeIndex(path string) int {
 	if strings.HasPrefix(path, "/repeat/") {
 		return 0
 	}
@@ -70,25 +70,25 @@
 }
 
 // askAs returns a request under a key, or without one for "".
-func askAs(secret, path string) *Request {
-	r := ask(path)
+func newKeyedRequest(secret, path string) *Request {
+	r := newRequest(path)
 	if secret != "" {
 		r.Key, r.HasKey = routing.DigestKey(secret), true
 	}
 	return r
 }
 
-func statusOf(o Outcome, out *fakeOut) int {
+func statusOf(o Outcome, out *fakeWriter) int {
 	if r, ok := o.(Rejected); ok {
 		return r.Status
 	}
 	return out.status
 }
 
-// TestWhoIsLetIn: a request's customer is told to endpoints; without a known key it does not run, and it is denied only
+// TestAuthentication: a request's customer is told to endpoints; without a known key it does not run, and it is denied only
 // by a table that is certainly the newest.
-func TestWhoIsLetIn(t *testing.T) {
-	const old = confirmedWithin + time.Millisecond
+func TestAuthentication(t *testing.T) {
+	const old = denialFreshness + time.Millisecond
 	tests := []struct {
 		name, secret, path string
 		// age is how long ago the table was confirmed.
@@ -111,11 +111,11 @@
 	}
 	for _, test := range tests {
 		s := &fakeSender{}
-		e := newKeyed(t, s)
+		e := newKeyedEntry(t, s)
 		e.Lease = &lease.Lease{TTL: lease.TTL(5 * time.Second)}
 		e.Lease.Confirm(2, time.Now().Add(-test.age))
-		out := &fakeOut{}
-		o := e.Serve(t.Context(), askAs(test.secret, test.path), out)
+		out := &fakeWriter{}
+		o := e.Serve(t.Context(), newKeyedRequest(test.secret, test.path), out)
 		if got := statusOf(o, out); got != test.status {
 			t.Errorf("%s: status %d, want %d", test.name, got, test.status)
 		}
@@ -126,7 +126,7 @@
 			t.Errorf("%s: %d offers", test.name, len(s.offers))
 		}
 		for _, offer := range s.offers {
-			if want := (&exchange{customer: table(t, keyed(2)).CustomerByName(test.customer), route: keyed(2).Routes[offerRoute(test.path)]}).endpointPriority(); offer.Priority != want {
+			if want := (&exchange{customer: newTable(t, keyedDocument(2)).CustomerByName(test.customer), route: keyedDocument(2).Routes[routeIndex(test.path)]}).endpointPriority(); offer.Priority != want {
 				t.Errorf("%s: offered with priority %d, want %d", test.name, offer.Priority, want)
 			}
 			if offer.Customer != test.customer || !offer.StripKey {
@@ -136,55 +136,55 @@
 	}
 }
 
-// TestARequestWaitsForTheFirstConfirmation: an instance that has just started refuses nobody over a key that control is
+// TestRequestWaitsForFirstKeyConfirmation: an instance that has just started refuses nobody over a key that control is
 // about to confirm.
-func TestARequestWaitsForTheFirstConfirmation(t *testing.T) {
+func TestRequestWaitsForFirstKeyConfirmation(t *testing.T) {
 	s := &fakeSender{}
-	e := newKeyed(t, s)
+	e := newKeyedEntry(t, s)
 	e.Lease = &lease.Lease{TTL: lease.TTL(5 * time.Second)}
-	time.AfterFunc(3*learnTick, func() { e.Lease.Confirm(2, time.Now()) })
-	out := &fakeOut{}
-	if o := e.Serve(t.Context(), askAs("ka", "/once/1"), out); statusOf(o, out) != 200 {
+	time.AfterFunc(3*initPollInterval, func() { e.Lease.Confirm(2, time.Now()) })
+	out := &fakeWriter{}
+	if o := e.Serve(t.Context(), newKeyedRequest("ka", "/once/1"), out); statusOf(o, out) != 200 {
 		t.Errorf("%+v", o)
 	}
 }
 
-// TestWithoutCustomersKeysMeanNothing: a deployment whose configuration has no customers passes keys on.
-func TestWithoutCustomersKeysMeanNothing(t *testing.T) {
-	s := &fakeSender{answers: []func(EndpointRequest) (*Response, error){answers(200, "ok")}}
+// TestKeysArePassedOnWithoutCustomers: a deployment whose configuration has no customers passes keys on.
+func TestKeysArePassedOnWithoutCustomers(t *testing.T) {
+	s := &fakeSender{answers: []func(EndpointRequest) (*Response, error){respond(200, "ok")}}
 	e := newEntry(t, s)
 	e.Lease = &lease.Lease{TTL: time.Second}
-	out := &fakeOut{}
-	if o := e.Serve(t.Context(), askAs("ka", "/once/1"), out); statusOf(o, out) != 200 || s.offers[0].StripKey || s.offers[0].Customer != "" {
+	out := &fakeWriter{}
+	if o := e.Serve(t.Context(), newKeyedRequest("ka", "/once/1"), out); statusOf(o, out) != 200 || s.offers[0].StripKey || s.offers[0].Customer != "" {
 		t.Errorf("%+v, offers %+v", o, s.offers)
 	}
 }
 
-// TestAFrozenInstanceLooksAtTheLeaseAgain tells a revocation that an instance sleeps through between the look-up of a
+// TestLeaseIsCheckedBeforeEachDispatch tells a revocation that an instance sleeps through between the look-up of a
 // key and the offer: the endpoint must not be offered the request any more.
-func TestAFrozenInstanceLooksAtTheLeaseAgain(t *testing.T) {
+func TestLeaseIsCheckedBeforeEachDispatch(t *testing.T) {
 	s := &fakeSender{}
-	e := newKeyed(t, s)
+	e := newKeyedEntry(t, s)
 	s.answers = []func(EndpointRequest) (*Response, error){func(o EndpointRequest) (*Response, error) {
 		e.Lease = &lease.Lease{TTL: lease.TTL(5 * time.Second)}
 		e.Lease.Confirm(2, time.Now().Add(-5*time.Second))
-		return notRun(o)
-	}, answers(200, "ok")}
-	out := &fakeOut{}
-	if o := e.Serve(t.Context(), askAs("ka", "/once/1"), out); statusOf(o, out) != 503 || len(s.offers) != 1 {
+		return notExecuted(o)
+	}, respond(200, "ok")}
+	out := &fakeWriter{}
+	if o := e.Serve(t.Context(), newKeyedRequest("ka", "/once/1"), out); statusOf(o, out) != 503 || len(s.offers) != 1 {
 		t.Errorf("%+v after %d offers", o, len(s.offers))
 	}
 }
 
-// TestARequestOutlivesItsTable: a request that waited while the configuration changed goes by the new one.
-func TestARequestOutlivesItsTable(t *testing.T) {
+// TestRequestUsesNewerTable: a request that waited while the configuration changed goes by the new one.
+func TestRequestUsesNewerTable(t *testing.T) {
 	moved := func(version uint64) *fleetpb.Document {
-		d := keyed(version)
+		d := keyedDocument(version)
 		d.Customers[0].Keys, d.Customers[1].Keys = d.Customers[1].Keys, d.Customers[0].Keys
 		return d
 	}
 	gone := func(version uint64) *fleetpb.Document {
-		d := keyed(version)
+		d := keyedDocument(version)
 		d.Customers = d.Customers[1:]
 		return d
 	}
@@ -192,27 +192,27 @@
 		next *fleetpb.Document
 		want int
 	}{
-		"the key is still the customer's": {keyed(3), 200},
+		"the key is still the customer's": {keyedDocument(3), 200},
 		"the key has moved":               {moved(3), 503},
 		"the customer is gone":            {gone(3), 503},
 	} {
 		s := &fakeSender{}
-		e := newKeyed(t, s)
+		e := newKeyedEntry(t, s)
 		s.answers = []func(EndpointRequest) (*Response, error){func(o EndpointRequest) (*Response, error) {
-			e.take(t, test.next)
+			e.applyDocument(t, test.next)
 			e.Lease = &lease.Lease{TTL: lease.TTL(5 * time.Second)}
 			e.Lease.Confirm(3, time.Now())
-			return notRun(o)
-		}, answers(200, "ok")}
-		out := &fakeOut{}
-		if o := e.Serve(t.Context(), askAs("ka", "/once/1"), out); statusOf(o, out) != test.want {
+			return notExecuted(o)
+		}, respond(200, "ok")}
+		out := &fakeWriter{}
+		if o := e.Serve(t.Context(), newKeyedRequest("ka", "/once/1"), out); statusOf(o, out) != test.want {
 			t.Errorf("%s: %+v, want %d", name, o, test.want)
 		}
 	}
 }
 
-// TestACustomersPriorityGoesBeforeTheRoutes: here and at endpoints.
-func TestACustomersPriorityGoesBeforeTheRoutes(t *testing.T) {
+// TestCustomerPriorityOutranksRoutePriority: here and at endpoints.
+func TestCustomerPriorityOutranksRoutePriority(t *testing.T) {
 	of := func(customer, route uint32) *exchange {
 		return &exchange{customer: &fleetpb.Customer{Priority: customer}, route: &fleetpb.Route{Priority: route}}
 	}
@@ -222,7 +222,7 @@
 			t.Errorf("customer %d, route %d is not behind the one before", x.customer.GetPriority(), x.route.GetPriority())
 		}
 	}
-	if huge := of(1<<32-1, 1<<32-1); huge.endpointPriority() < leastUrgent || huge.priority() <= order[len(order)-1].priority() {
+	if huge := of(1<<32-1, 1<<32-1); huge.endpointPriority() < lowestEndpointPriority || huge.priority() <= order[len(order)-1].priority() {
 		t.Errorf("a priority of %d counts as urgent: %d, %d for endpoints", uint32(1<<32-1), huge.priority(), huge.endpointPriority())
 	}
 	if got := (&exchange{route: &fleetpb.Route{Priority: 2}}).endpointPriority(); got != 2 {
@@ -230,8 +230,8 @@
 	}
 }
 
-// TestWhatDidNotRunIsNotCounted: the refusal of endpoints gives the request back, and one that may have run is not.
-func TestWhatDidNotRunIsNotCounted(t *testing.T) {
+// TestQuotaRefundWhenNotExecuted: the refusal of endpoints gives the request back, and one that may have run is not.
+func TestQuotaRefundWhenNotExecuted(t *testing.T) {
 	none := func(context.Context, *fleetpb.AdmitRequest) (string, *fleetpb.AdmitReply, error) {
 		return "", nil, errors.New("nobody is there")
 	}
@@ -239,18 +239,18 @@
 		answer func(EndpointRequest) (*Response, error)
 		want   int
 	}{
-		"it did not run":  {notRun, http.StatusServiceUnavailable},
-		"it may have run": {broken, http.StatusTooManyRequests},
+		"it did not run":  {notExecuted, http.StatusServiceUnavailable},
+		"it may have run": {connectionReset, http.StatusTooManyRequests},
 	} {
 		s := &fakeSender{answers: []func(EndpointRequest) (*Response, error){test.answer}}
-		e := newKeyed(t, s)
-		d := keyed(2)
+		e := newKeyedEntry(t, s)
+		d := keyedDocument(2)
 		d.Customers[0].RequestsPerSecond, d.Customers[0].Burst = 0.1, 0.5
-		e.take(t, d)
+		e.applyDocument(t, d)
 		e.Quota = &quota.Limiter{Params: quota.Params{Window: 5 * time.Second}, Mode: quota.Even{}, EntryCount: func() int { return 1 }, AskControl: none}
-		e.Serve(t.Context(), askAs("ka", "/once/1"), &fakeOut{})
-		out := &fakeOut{}
-		o := e.Serve(t.Context(), askAs("ka", "/once/2"), out)
+		e.Serve(t.Context(), newKeyedRequest("ka", "/once/1"), &fakeWriter{})
+		out := &fakeWriter{}
+		o := e.Serve(t.Context(), newKeyedRequest("ka", "/once/2"), out)
 		if statusOf(o, out) != test.want {
 			t.Errorf("%s: the next request got %+v, want %d", name, o, test.want)
 		}
@@ -260,10 +260,10 @@
 	}
 }
 
-// TestALimiterKnowsWhoseRequestItIs: without that it could neither share among customers nor put one before another.
-func TestALimiterKnowsWhoseRequestItIs(t *testing.T) {
+// TestLimiterArrivalHasCustomer: without that it could neither share among customers nor put one before another.
+func TestLimiterArrivalHasCustomer(t *testing.T) {
 	x := &exchange{
-		request: ask("/turn/1"), route: &fleetpb.Route{Priority: 1}, customer: &fleetpb.Customer{Name: "a", Priority: 2, RequestsPerSecond: 7},
+		request: newRequest("/turn/1"), route: &fleetpb.Route{Priority: 1}, customer: &fleetpb.Customer{Name: "a", Priority: 2, RequestsPerSecond: 7},
 	}
 	if got := x.arrival(); got.Customer != "a" || got.Weight != 7 || got.Priority != x.priority() || got.Priority == 1 {
 		t.Errorf("%+v", got)
@@ -271,11 +271,11 @@
 }
 
 // asking returns an entry whose control instance answers questions about quotas by a function.
-func asking(t *testing.T, s *fakeSender, answer func(*fleetpb.AdmitRequest) *fleetpb.AdmitReply) *Entry {
-	e := newKeyed(t, s)
-	d := keyed(2)
+func newCentralQuotaEntry(t *testing.T, s *fakeSender, answer func(*fleetpb.AdmitRequest) *fleetpb.AdmitReply) *Entry {
+	e := newKeyedEntry(t, s)
+	d := keyedDocument(2)
 	d.Customers[0].RequestsPerSecond = 10
-	e.take(t, d)
+	e.applyDocument(t, d)
 	e.Quota = &quota.Limiter{
 		Params: quota.Params{Window: 5 * time.Second}, Mode: quota.Central{}, EntryCount: func() int { return 1 },
 		AskControl: func(_ context.Context, req *fleetpb.AdmitRequest) (string, *fleetpb.AdmitReply, error) {
@@ -285,8 +285,8 @@
 	return e
 }
 
-// TestOnlyFirstTurnsBeginPrograms: they alone leave room to others. A refusal tells when there is room.
-func TestOnlyFirstTurnsBeginPrograms(t *testing.T) {
+// TestOnlyFirstTurnIsNewProgram: they alone leave room to others. A refusal tells when there is room.
+func TestOnlyFirstTurnIsNewProgram(t *testing.T) {
 	const after = 700 * time.Millisecond
 	for name, test := range map[string]struct {
 		path, previous, event string
@@ -299,64 +299,64 @@
 		"a stream of itself": {"/plain/1", "", "", true},
 	} {
 		asked := 0
-		e := asking(t, &fakeSender{}, func(req *fleetpb.AdmitRequest) *fleetpb.AdmitReply {
+		e := newCentralQuotaEntry(t, &fakeSender{}, func(req *fleetpb.AdmitRequest) *fleetpb.AdmitReply {
 			asked++
 			if req.GetNewProgram() != test.want || req.GetCustomer() != "a" || req.GetRequests() != 1 {
 				t.Errorf("%s: asked %v", name, req)
 			}
 			return &fleetpb.AdmitReply{RetryAfterMs: uint64(after.Milliseconds())}
 		})
-		d := streams()
-		d.Customers = keyed(2).Customers
+		d := streamDocument()
+		d.Customers = keyedDocument(2).Customers
 		d.Customers[0].RequestsPerSecond = 10
 		for _, r := range d.Routes {
 			r.Keyed = true
 		}
 		d.Version = 2
-		e.take(t, d)
-		r := askAs("ka", test.path)
+		e.applyDocument(t, d)
+		r := newKeyedRequest("ka", test.path)
 		r.PreviousTurn, r.LastEventID = test.previous, test.event
-		o, ok := e.Serve(t.Context(), r, &fakeOut{}).(Rejected)
+		o, ok := e.Serve(t.Context(), r, &fakeWriter{}).(Rejected)
 		if asked != 1 || !ok || o.Status != http.StatusTooManyRequests || o.RetryAfter != after {
 			t.Errorf("%s: %+v after %d questions", name, o, asked)
 		}
 	}
 }
 
-// TestARetryIsCharged: a request that may have run at one endpoint and runs at another one counts twice.
-func TestARetryIsCharged(t *testing.T) {
-	s := &fakeSender{answers: []func(EndpointRequest) (*Response, error){broken, answers(200, "ok")}}
-	e := newKeyed(t, s)
-	d := keyed(2)
+// TestRetryIsChargedToQuota: a request that may have run at one endpoint and runs at another one counts twice.
+func TestRetryIsChargedToQuota(t *testing.T) {
+	s := &fakeSender{answers: []func(EndpointRequest) (*Response, error){connectionReset, respond(200, "ok")}}
+	e := newKeyedEntry(t, s)
+	d := keyedDocument(2)
 	d.Customers[0].RequestsPerSecond, d.Customers[0].Burst = 0.1, 2.5
-	e.take(t, d)
+	e.applyDocument(t, d)
 	e.Quota = &quota.Limiter{Params: quota.Params{Window: 5 * time.Second}, Mode: quota.Even{}, EntryCount: func() int { return 1 }}
 	for i, want := range []int{200, 200, http.StatusTooManyRequests} {
-		out := &fakeOut{}
-		if o := e.Serve(t.Context(), askAs("ka", "/repeat/1"), out); statusOf(o, out) != want {
+		out := &fakeWriter{}
+		if o := e.Serve(t.Context(), newKeyedRequest("ka", "/repeat/1"), out); statusOf(o, out) != want {
 			t.Errorf("request %d of a quota of three runs: %+v, want %d", i+1, o, want)
 		}
 	}
 }
 
-// TestATurnIsItsCustomers: the record of a turn says whose it is, so that another instance lets only that customer go on.
-func TestATurnIsItsCustomers(t *testing.T) {
+// TestTurnBelongsToCustomer: the record of a turn says whose it is, so that another instance lets only that customer go on.
+func TestTurnBelongsToCustomer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		view := startStores(t)
 		serve := func(secret, id, previous string) int {
 			e := newStreamEntry(t, view, senderFunc(func(context.Context, EndpointRequest) (*Response, error) {
 				return &Response{Status: 200, Header: http.Header{}, ContentLength: -1, Body: io.NopCloser(strings.NewReader(events(1, 3)))}, nil
 			}))
-			d := streams()
-			d.Version, d.Customers = 2, keyed(2).Customers
+			d := streamDocument()
+			d.Version, d.Customers = 2, keyedDocument(2).Customers
 			for _, r := range d.Routes {
 				r.Keyed = true
 			}
-			e.take(t, d)
+			e.applyDocument(t, d)
 			e.Lease = &lease.Lease{}
-			r := turnOf("k", id, "p", 1000)
+			r := newTurn("k", id, "p", 1000)
 			r.Key, r.HasKey, r.PreviousTurn = routing.DigestKey(secret), true, previous
-			out := &fakeOut{}
+			out := &fakeWriter{}
 			return statusOf(e.Serve(t.Context(), r, out), out)
 		}
 		if got := serve("ka", "1", ""); got != 200 {
--- a/rockbarrow/entry/domains.go
+++ b/rockbarrow/entry/domain_health.go
@@ -14,79 +14,79 @@
 const (
 	// suspectFor is how long a failure domain is avoided after an endpoint there
 	// did not answer on the network; then one request tries again.
-	suspectFor = 1500 * time.Millisecond
+	suspicionTime = 1500 * time.Millisecond
 	// domainTick is how often the reach of stores and control is looked at.
-	domainTick = 100 * time.Millisecond
+	reachabilityInterval = 100 * time.Millisecond
 )
 
 // domains are the failure domains that are likely to be cut off from here. Their
 // endpoints get requests only if no others have room. The zero value is ready.
-type domains struct {
+type domainHealth struct {
 	mu sync.Mutex
 	// until is when a suspicion from endpoints ends.
-	until map[string]time.Time
+	suspectedUntil map[string]time.Time
 	// cut are the domains whose stores and control instances are out of reach.
-	cut []string
+	unreachable []string
 }
 
-func (d *domains) suspect(domain string, now time.Time) {
+func (d *domainHealth) suspect(domain string, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.until == nil {
-		d.until = map[string]time.Time{}
+	if d.suspectedUntil == nil {
+		d.suspectedUntil = map[string]time.Time{}
 	}
-	d.until[domain] = now.Add(suspectFor)
+	d.suspectedUntil[domain] = now.Add(suspicionTime)
 }
 
-func (d *domains) clear(domain string) {
+func (d *domainHealth) clearSuspicion(domain string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	delete(d.until, domain)
+	delete(d.suspectedUntil, domain)
 }
 
 // set takes the domains that are cut off, and reports whether they changed.
-func (d *domains) set(cut []string) bool {
+func (d *domainHealth) setUnreachable(cut []string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	changed := !slices.Equal(d.cut, cut)
-	d.cut = cut
+	changed := !slices.Equal(d.unreachable, cut)
+	d.unreachable = cut
 	return changed
 }
 
 // isCut reports whether a domain's stores and control instances are out of reach.
-func (d *domains) isCut(domain string) bool {
+func (d *domainHealth) isUnreachable(domain string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return slices.Contains(d.cut, domain)
+	return slices.Contains(d.unreachable, domain)
 }
 
 // avoid returns the domains to avoid now.
-func (d *domains) avoid(now time.Time) []string {
+func (d *domainHealth) avoided(now time.Time) []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if len(d.until) == 0 {
-		return d.cut
+	if len(d.suspectedUntil) == 0 {
+		return d.unreachable
 	}
-	out := slices.Clone(d.cut)
-	for domain, until := range d.until {
+	out := slices.Clone(d.unreachable)
+	for domain, until := range d.suspectedUntil {
 		if now.Before(until) {
 			out = append(out, domain)
 		} else {
-			delete(d.until, domain)
+			delete(d.suspectedUntil, domain)
 		}
 	}
 	return out
 }
 
 // watchDomains looks at the reach of other instances until ctx ends.
-func (e *Entry) watchDomains(ctx context.Context) {
-	t := time.NewTicker(domainTick)
+func (e *Entry) watchReachability(ctx context.Context) {
+	t := time.NewTicker(reachabilityInterval)
 	defer t.Stop()
 	wasReady := false
 	for {
 		select {
 		case <-t.C:
-			e.updateReach()
+			e.updateReachability()
 			wasReady = e.logReady(wasReady)
 		case <-ctx.Done():
 			return
@@ -96,15 +96,15 @@
 
 // updateReach takes a domain for cut off if neither a store nor a control instance
 // there is reached.
-func (e *Entry) updateReach() {
+func (e *Entry) updateReachability() {
 	if e.Stores.Reachable() {
-		e.lostSince.Store(0)
+		e.storesLostSince.Store(0)
 	} else {
-		e.lostSince.CompareAndSwap(0, time.Now().UnixNano())
+		e.storesLostSince.CompareAndSwap(0, time.Now().UnixNano())
 	}
 	out := e.Stores.UnreachableDomains()
 	out = slices.DeleteFunc(out, func(domain string) bool { return domain == e.Domain || e.Watch.ReachesDomain(domain) })
-	if e.domains.set(out) {
+	if e.domains.setUnreachable(out) {
 		e.Log.WithField("failure_domains", out).Info("failure domains out of reach have changed")
 	}
 }
--- a/rockbarrow/entry/entry.go
+++ b/rockbarrow/entry/entry.go
@@ -24,15 +24,15 @@
 const (
 	// soon is when a client is told to come back after a refusal that passes by
 	// itself within milliseconds, such as a start; later, after one that lasts.
-	soon  = 150 * time.Millisecond
-	later = 400 * time.Millisecond
+	shortRetryAfter = 150 * time.Millisecond
+	longRetryAfter  = 400 * time.Millisecond
 	// balancerTakes is how long after a cut was noticed the balancer, which asks twice
 	// a second apart, has taken the instances out that are cut off: 2 s, and half a
 	// second for the instances that notice last.
-	balancerTakes = 2500 * time.Millisecond
+	balancerRemovalTime = 2500 * time.Millisecond
 	// leastRetryElsewhere is when to come back after that: on a new connection, which
 	// leads elsewhere.
-	leastRetryElsewhere = 250 * time.Millisecond
+	minRetryElsewhere = 250 * time.Millisecond
 )
 
 // Entry is one entry instance. Set the exported fields before Run.
@@ -55,25 +55,25 @@
 	table atomic.Pointer[routing.Table]
 	fleet atomic.Pointer[fleet]
 	// departures is used by the goroutine of lists only.
-	departures departures
+	draining drainTracker
 	// lives is used by the same goroutine only.
-	lives          incarnation.Tracker
-	livesForgotten time.Time
+	incarnations        incarnation.Tracker
+	incarnationsExpired time.Time
 	// returns is when endpoints that left may count again under the list in force, zero if none
 	// can.
-	returns time.Time
+	readmitAt time.Time
 	// tableUpdates and listUpdates each have a goroutine of their own, so that neither kind of
 	// news waits for the other.
 	tableUpdates, listUpdates *signal
 	stopped                   atomic.Bool
-	domains                   domains
-	lines                     lines
-	gates                     gates
+	domains                   domainHealth
+	sessions                  sessionEndpoints
+	limiters                  serviceLimiters
 	customers, outcomes       taggedScopes
 	// lostSince is when most stores went out of reach, in nanoseconds since 1970,
 	// zero while they are reached.
-	lostSince atomic.Int64
-	inFlight  atomic.Int64
+	storesLostSince atomic.Int64
+	inFlight        atomic.Int64
 }
 
 // Init makes the entry ready for Wake; call it before the watch client runs.
@@ -81,15 +81,15 @@
 
 // Wake takes over what is new; package watch calls it.
 func (e *Entry) NotifyChanged() {
-	e.tableUpdates.wake()
-	e.listUpdates.wake()
+	e.tableUpdates.notify()
+	e.listUpdates.notify()
 }
 
 // Run takes over new configurations and lists until ctx ends.
 func (e *Entry) Run(ctx context.Context) {
-	go e.watchDomains(ctx)
-	go e.runTables(ctx)
-	e.runFleets(ctx)
+	go e.watchReachability(ctx)
+	go e.runTableUpdates(ctx)
+	e.runListUpdates(ctx)
 }
 
 // Ready reports whether the balancer should send connections here, or why not.
@@ -115,7 +115,7 @@
 		return false, "no configuration is known"
 	case e.fleet.Load() == nil:
 		return false, "no list of endpoints is known"
-	case e.isCutOff():
+	case e.isPartitioned():
 		return false, "cut off from most stores and control instances"
 	}
 	return true, ""
@@ -142,16 +142,16 @@
 // isCutOff reports whether this instance is cut off from the rest. It then serves
 // what it can, but new connections are better off elsewhere. When most stores are
 // lost for everyone, no instance is better than another, and all stay ready.
-func (e *Entry) isCutOff() bool { return !e.Stores.Reachable() && e.Watch.CutOff() }
+func (e *Entry) isPartitioned() bool { return !e.Stores.Reachable() && e.Watch.CutOff() }
 
 // retryElsewhere is when a client that is refused for want of stores had better come
 // back.
 func (e *Entry) retryElsewhere(now time.Time) time.Duration {
-	since := e.lostSince.Load()
+	since := e.storesLostSince.Load()
 	if since == 0 {
-		return balancerTakes
+		return balancerRemovalTime
 	}
-	return max(leastRetryElsewhere, balancerTakes-now.Sub(time.Unix(0, since)))
+	return max(minRetryElsewhere, balancerRemovalTime-now.Sub(time.Unix(0, since)))
 }
 
 // Stop makes the entry say that it is not ready. It goes on to serve.
@@ -173,16 +173,16 @@
 func (e *Entry) Serve(ctx context.Context, req *Request, out ResponseWriter) Outcome {
 	e.inFlight.Add(1)
 	defer e.inFlight.Add(-1)
-	e.awaitLearned(ctx)
+	e.awaitInitialized(ctx)
 	t, f := e.table.Load(), e.fleet.Load()
 	if t == nil || f == nil {
-		return e.ended(&exchange{entry: e, request: req}, Rejected{Status: http.StatusServiceUnavailable, RetryAfter: soon, Reason: "this instance has not learned what to serve yet"})
+		return e.finish(&exchange{entry: e, request: req}, Rejected{Status: http.StatusServiceUnavailable, RetryAfter: shortRetryAfter, Reason: "this instance has not learned what to serve yet"})
 	}
 	route, ok := t.Match(req.Host, req.Path)
 	if !ok {
-		return e.ended(&exchange{entry: e, request: req, table: t}, Rejected{Status: http.StatusNotFound, Reason: "no route"})
+		return e.finish(&exchange{entry: e, request: req, table: t}, Rejected{Status: http.StatusNotFound, Reason: "no route"})
 	}
-	x := &exchange{entry: e, request: req, table: t, route: route, out: out}
+	x := &exchange{entry: e, request: req, table: t, route: route, writer: out}
 	x.service = t.Service(routing.PickService(route, x.splitKey()))
 	x.deadline = req.Arrived.Add(time.Duration(route.GetTimeoutMs()) * time.Millisecond)
 	if req.ClientTimeout > 0 && req.Arrived.Add(req.ClientTimeout).Before(x.deadline) {
@@ -190,45 +190,45 @@
 	}
 	ctx, cancel := context.WithDeadline(ctx, x.deadline)
 	defer cancel()
-	x.way = wayOf(route, req)
-	if o := x.identify(); o != nil {
-		return e.ended(x, o)
+	x.handling = handlingOf(route, req)
+	if o := x.authenticate(); o != nil {
+		return e.finish(x, o)
 	}
-	if o := x.resumption(); o != nil {
-		return e.ended(x, o)
+	if o := x.checkResumption(); o != nil {
+		return e.finish(x, o)
 	}
 	if o := x.chargeQuota(ctx); o != nil {
-		return e.ended(x, o)
+		return e.finish(x, o)
 	}
 	defer x.refundQuota()
-	return e.ended(x, x.serve(ctx))
+	return e.finish(x, x.serve(ctx))
 }
 
 // learnWithin is how long a request waits for an instance that has just started
 // to learn what it serves: some 100 ms, and up to 700 ms after all instances have
 // lost power at once. learnTick is how often it looks.
 const (
-	learnWithin = 900 * time.Millisecond
-	learnTick   = 20 * time.Millisecond
+	initTimeout      = 900 * time.Millisecond
+	initPollInterval = 20 * time.Millisecond
 )
 
 // learned reports whether a configuration and a list are in force, and whether its keys may be trusted if it has any.
-func (e *Entry) learned() bool {
+func (e *Entry) isInitialized() bool {
 	t := e.table.Load()
 	return t != nil && e.fleet.Load() != nil && !(t.CustomerCount() > 0 && e.Lease.Unconfirmed())
 }
 
 // awaitLearned waits a little for the first configuration and list, and for the first confirmation of keys.
-func (e *Entry) awaitLearned(ctx context.Context) {
-	for end := time.Now().Add(learnWithin); !e.learned(); {
-		if !wait.For(ctx, learnTick) || time.Now().After(end) {
+func (e *Entry) awaitInitialized(ctx context.Context) {
+	for end := time.Now().Add(initTimeout); !e.isInitialized(); {
+		if !wait.For(ctx, initPollInterval) || time.Now().After(end) {
 			return
 		}
 	}
 }
 
 // ended writes the one log line of a request and counts it.
-func (e *Entry) ended(x *exchange, o Outcome) Outcome {
+func (e *Entry) finish(x *exchange, o Outcome) Outcome {
 	r := x.request
 	took := time.Since(r.Arrived)
 	status, reason, level := x.status, "", logrus.InfoLevel
@@ -238,20 +238,20 @@
 	case Aborted:
 		status, reason, level = 0, o.Reason, logrus.WarnLevel
 	}
-	e.count(x, o, took)
+	e.recordMetrics(x, o, took)
 	if !e.Log.Logger.IsLevelEnabled(level) {
 		return o
 	}
 	e.Log.WithFields(logrus.Fields{
 		"request": r.ID, "program": r.Program, "previous": r.PreviousTurn, "route": x.route.GetName(),
-		"service": x.service.GetName(), "customer": x.customer.GetName(), "endpoint": x.endpoint.EndpointID, "offers": x.offers, "status": status,
-		"reason": reason, "config_version": x.table.Version(), "list": x.list, "list_age_ms": x.listAge,
-		"took_ms": took.Milliseconds(), "own_ms": x.own.Milliseconds(), "waited_ms": x.waited.Milliseconds(), "left_ms": r.TimeToFinish.Milliseconds(),
+		"service": x.service.GetName(), "customer": x.customer.GetName(), "endpoint": x.endpoint.EndpointID, "offers": x.dispatches, "status": status,
+		"reason": reason, "config_version": x.table.Version(), "list": x.listNumber, "list_age_ms": x.listAgeMS,
+		"took_ms": took.Milliseconds(), "own_ms": x.ownTime.Milliseconds(), "waited_ms": x.waitTime.Milliseconds(), "left_ms": r.TimeToFinish.Milliseconds(),
 	}).Log(level, "request ended")
 	return o
 }
 
-func (e *Entry) count(x *exchange, o Outcome, took time.Duration) {
+func (e *Entry) recordMetrics(x *exchange, o Outcome, took time.Duration) {
 	kind := "answered"
 	switch o := o.(type) {
 	case Rejected:
@@ -259,11 +259,11 @@
 	case Aborted:
 		kind = "cut"
 	}
-	scope := e.outcomes.of(e.Metrics, "outcome", kind)
+	scope := e.outcomes.get(e.Metrics, "outcome", kind)
 	scope.Counter("requests").Inc(1)
 	scope.Histogram("request_seconds", latencyBuckets).RecordDuration(took)
-	if x.own > 0 {
-		e.Metrics.Histogram("own_seconds", latencyBuckets).RecordDuration(x.own)
+	if x.ownTime > 0 {
+		e.Metrics.Histogram("own_seconds", latencyBuckets).RecordDuration(x.ownTime)
 	}
 }
 
--- a/rockbarrow/entry/entry_test.go
+++ b/rockbarrow/entry/entry_test.go
@@ -35,17 +35,17 @@
 	return f(o)
 }
 
-func answers(status int, body string) func(EndpointRequest) (*Response, error) {
+func respond(status int, body string) func(EndpointRequest) (*Response, error) {
 	return func(EndpointRequest) (*Response, error) {
 		return &Response{Status: status, Header: http.Header{}, ContentLength: int64(len(body)), Body: io.NopCloser(strings.NewReader(body))}, nil
 	}
 }
 
-func notRun(o EndpointRequest) (*Response, error) {
+func notExecuted(o EndpointRequest) (*Response, error) {
 	return nil, &NotExecutedError{Endpoint: o.Endpoint.GetName(), Reason: "full", Busy: true}
 }
 
-func broken(o EndpointRequest) (*Response, error) {
+func connectionReset(o EndpointRequest) (*Response, error) {
 	return nil, &OutcomeUnknownError{Endpoint: o.Endpoint.GetName(), Reason: "reset"}
 }
 
@@ -60,23 +60,23 @@
 	return n, err
 }
 
-func cutOff(body string) func(EndpointRequest) (*Response, error) {
+func truncated(body string) func(EndpointRequest) (*Response, error) {
 	return func(EndpointRequest) (*Response, error) {
 		return &Response{Status: 200, Header: http.Header{}, ContentLength: -1, Body: io.NopCloser(brokenReader{strings.NewReader(body)})}, nil
 	}
 }
 
 // fakeOut keeps what the client sees.
-type fakeOut struct {
+type fakeWriter struct {
 	status int
 	body   bytes.Buffer
 }
 
-func (o *fakeOut) Start(status int, _ http.Header, _ int64) { o.status = status }
-func (o *fakeOut) Write(b []byte) error                     { _, err := o.body.Write(b); return err }
+func (o *fakeWriter) Start(status int, _ http.Header, _ int64) { o.status = status }
+func (o *fakeWriter) Write(b []byte) error                     { _, err := o.body.Write(b); return err }
 
 // quiet drops all log lines.
-func quiet() *logrus.Entry {
+func discardLogger() *logrus.Entry {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	return logrus.NewEntry(log)
@@ -85,28 +85,28 @@
 // newEntry returns an entry with one service of three endpoints and a route of
 // each kind.
 func newEntry(t *testing.T, sender Sender) *Entry {
-	w := &watch.Client{Self: &fleetpb.Member{Instance: "entry"}, Log: quiet()}
+	w := &watch.Client{Self: &fleetpb.Member{Instance: "entry"}, Log: discardLogger()}
 	pool := &dial.Pool{}
 	t.Cleanup(pool.Close)
 	e := &Entry{
 		Domain: "a", Watch: w, Sender: sender, Log: w.Log, Metrics: tally.NoopScope, Lease: &lease.Lease{}, Quota: &quota.Limiter{},
 		Stores: &stores.Client{Watch: w, Pool: pool, TurnCache: &stores.Cache{MaxBytes: 1 << 16}},
-		Decode: func([]byte) (*fleetpb.Document, error) { return document(), nil },
+		Decode: func([]byte) (*fleetpb.Document, error) { return testDocument(), nil },
 	}
 	e.Init()
 	w.UpdateState(&fleetpb.State{Number: 1, Configuration: &fleetpb.Configuration{Version: 1}, View: &fleetpb.View{Epoch: 1, Copies: 3}})
-	w.UpdateList(list(1), time.Now())
+	w.UpdateList(endpointList(1), time.Now())
 	e.refresh()
 	return e
 }
 
 // refresh takes over all news at once.
 func (e *Entry) refresh() {
-	e.takeTable(context.Background(), time.Now())
-	e.refreshFleet(time.Now())
+	e.updateTable(context.Background(), time.Now())
+	e.updateFleet(time.Now())
 }
 
-func list(number uint64, draining ...string) *fleetpb.EndpointList {
+func endpointList(number uint64, draining ...string) *fleetpb.EndpointList {
 	l := &fleetpb.EndpointList{Number: number}
 	for _, id := range []string{"x", "y", "z"} {
 		p := &fleetpb.Endpoint{Id: id, Service: "s", Address: "127.0.0.1:1", FailureDomain: "a", Slots: 4}
@@ -118,7 +118,7 @@
 	return l
 }
 
-func document() *fleetpb.Document {
+func testDocument() *fleetpb.Document {
 	route := func(name string, kind fleetpb.RouteKind) *fleetpb.Route {
 		return &fleetpb.Route{
 			Name: name, Host: "h", Prefix: "/" + name + "/", Kind: kind, TimeoutMs: 1000, MaxAttempts: 2,
@@ -132,11 +132,11 @@
 	}}
 }
 
-func ask(path string) *Request {
+func newRequest(path string) *Request {
 	return &Request{ID: "r", Method: "GET", Host: "h", Path: path, Target: path, Header: http.Header{}, Arrived: time.Now()}
 }
 
-func TestWhatMayBeTriedAgain(t *testing.T) {
+func TestRetries(t *testing.T) {
 	tests := []struct {
 		name    string
 		path    string
@@ -144,22 +144,22 @@
 		// status is what the client sees, offers how many endpoints were asked.
 		status, offers int
 	}{
-		{"served", "/repeat/1", []func(EndpointRequest) (*Response, error){answers(200, "ok")}, 200, 1},
+		{"served", "/repeat/1", []func(EndpointRequest) (*Response, error){respond(200, "ok")}, 200, 1},
 		{"no route", "/none/1", nil, 404, 0},
-		{"a repeatable one is tried again", "/repeat/1", []func(EndpointRequest) (*Response, error){broken, answers(200, "ok")}, 200, 2},
-		{"and again after a lost answer", "/repeat/1", []func(EndpointRequest) (*Response, error){cutOff("half"), answers(200, "ok")}, 200, 2},
-		{"but not for ever", "/repeat/1", []func(EndpointRequest) (*Response, error){broken}, 502, 2},
-		{"an unrepeatable one is not", "/once/1", []func(EndpointRequest) (*Response, error){broken, answers(200, "ok")}, 502, 1},
-		{"nor after a lost answer", "/once/1", []func(EndpointRequest) (*Response, error){cutOff("half"), answers(200, "ok")}, 502, 1},
-		{"unless it did not run", "/once/1", []func(EndpointRequest) (*Response, error){notRun, answers(200, "ok")}, 200, 2},
-		{"all are full", "/once/1", []func(EndpointRequest) (*Response, error){notRun}, 503, 3},
-		{"one may have run, the others are full", "/repeat/1", []func(EndpointRequest) (*Response, error){broken, notRun}, 502, 3},
-		{"the endpoint's own failure", "/once/1", []func(EndpointRequest) (*Response, error){answers(500, "bad")}, 500, 1},
+		{"a repeatable one is tried again", "/repeat/1", []func(EndpointRequest) (*Response, error){connectionReset, respond(200, "ok")}, 200, 2},
+		{"and again after a lost answer", "/repeat/1", []func(EndpointRequest) (*Response, error){truncated("half"), respond(200, "ok")}, 200, 2},
+		{"but not for ever", "/repeat/1", []func(EndpointRequest) (*Response, error){connectionReset}, 502, 2},
+		{"an unrepeatable one is not", "/once/1", []func(EndpointRequest) (*Response, error){connectionReset, respond(200, "ok")}, 502, 1},
+		{"nor after a lost answer", "/once/1", []func(EndpointRequest) (*Response, error){truncated("half"), respond(200, "ok")}, 502, 1},
+		{"unless it did not run", "/once/1", []func(EndpointRequest) (*Response, error){notExecuted, respond(200, "ok")}, 200, 2},
+		{"all are full", "/once/1", []func(EndpointRequest) (*Response, error){notExecuted}, 503, 3},
+		{"one may have run, the others are full", "/repeat/1", []func(EndpointRequest) (*Response, error){connectionReset, notExecuted}, 502, 3},
+		{"the endpoint's own failure", "/once/1", []func(EndpointRequest) (*Response, error){respond(500, "bad")}, 500, 1},
 	}
 	for _, test := range tests {
 		s := &fakeSender{answers: test.answers}
-		out := &fakeOut{}
-		o := newEntry(t, s).Serve(t.Context(), ask(test.path), out)
+		out := &fakeWriter{}
+		o := newEntry(t, s).Serve(t.Context(), newRequest(test.path), out)
 		status := out.status
 		if r, ok := o.(Rejected); ok {
 			status = r.Status
@@ -177,15 +177,15 @@
 	}
 }
 
-func TestLeavingEndpointsGetNothingAlsoAfterAnOlderList(t *testing.T) {
-	s := &fakeSender{answers: []func(EndpointRequest) (*Response, error){answers(200, "ok")}}
+func TestDrainingEndpointGetsNoRequestsAfterOlderList(t *testing.T) {
+	s := &fakeSender{answers: []func(EndpointRequest) (*Response, error){respond(200, "ok")}}
 	e := newEntry(t, s)
-	e.Watch.UpdateList(list(2, "x", "y"), time.Now())
+	e.Watch.UpdateList(endpointList(2, "x", "y"), time.Now())
 	e.refresh()
-	e.Watch.UpdateList(list(3), time.Now())
+	e.Watch.UpdateList(endpointList(3), time.Now())
 	e.refresh()
 	for range 20 {
-		e.Serve(t.Context(), ask("/once/1"), &fakeOut{})
+		e.Serve(t.Context(), newRequest("/once/1"), &fakeWriter{})
 	}
 	for _, o := range s.offers {
 		if o.Endpoint.GetName() != "z" {
@@ -194,10 +194,10 @@
 	}
 }
 
-func TestWithoutAConfigurationNothingIsDenied(t *testing.T) {
+func TestNoConfigurationIsTemporaryRefusal(t *testing.T) {
 	e := newEntry(t, &fakeSender{})
 	e.table.Store(nil)
-	o, ok := e.Serve(t.Context(), ask("/none/1"), &fakeOut{}).(Rejected)
+	o, ok := e.Serve(t.Context(), newRequest("/none/1"), &fakeWriter{}).(Rejected)
 	if !ok || o.Status != http.StatusServiceUnavailable || o.RetryAfter == 0 {
 		t.Errorf("%+v, want 503 with a time to come back", o)
 	}
@@ -206,13 +206,13 @@
 	}
 }
 
-func TestATurnIsNotSentBeforeItIsReserved(t *testing.T) {
-	s := &fakeSender{answers: []func(EndpointRequest) (*Response, error){answers(200, "data: x\n\n")}}
+func TestTurnIsReservedBeforeDispatch(t *testing.T) {
+	s := &fakeSender{answers: []func(EndpointRequest) (*Response, error){respond(200, "data: x\n\n")}}
 	e := newEntry(t, s)
 	// The view has no stores, so that no reservation can be made.
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
-	o, ok := e.Serve(ctx, ask("/turn/1"), &fakeOut{}).(Rejected)
+	o, ok := e.Serve(ctx, newRequest("/turn/1"), &fakeWriter{}).(Rejected)
 	if !ok || o.Status != http.StatusServiceUnavailable || o.RetryAfter == 0 {
 		t.Errorf("%+v", o)
 	}
@@ -221,24 +221,24 @@
 	}
 }
 
-func TestScannerReadsEventsOverAnyCut(t *testing.T) {
+func TestEventScannerAtAnyReadBoundary(t *testing.T) {
 	text := "id: 1\ndata: one\n\nid: 2\r\ndata:two\r\n\r\n: comment\n\ndata: a\ndata: b\n\n"
 	for cut := range text {
-		var s scanner
+		var s eventScanner
 		s.scan([]byte(text[:cut]))
 		s.scan([]byte(text[cut:]))
-		if string(s.output) != "one\ntwo\na\nb\n" || s.count != 3 || !s.whole() {
+		if string(s.output) != "one\ntwo\na\nb\n" || s.count != 3 || !s.isComplete() {
 			t.Fatalf("cut at %d: %q, %d events", cut, s.output, s.count)
 		}
 	}
-	var s scanner
+	var s eventScanner
 	s.scan([]byte("data: one\n\ndata: tw"))
-	if s.whole() {
+	if s.isComplete() {
 		t.Error("a stream that ends inside an event counts as whole")
 	}
 }
 
-func TestTheLastInstancesOfADomainStepBack(t *testing.T) {
+func TestNotReadyWhenMostOfDomainIsLost(t *testing.T) {
 	e := newEntry(t, &fakeSender{})
 	counts := func(serving, known, elsewhere uint32) []*fleetpb.EntryDomain {
 		return []*fleetpb.EntryDomain{
@@ -273,10 +273,10 @@
 	}
 }
 
-// TestAnInstanceThatStartsBehindACutIsNotReady: it has learned a state from the
+// TestNotReadyWhenStartedInPartition: it has learned a state from the
 // control instance beside it, but neither most voters nor most stores answer. One
 // instance that calls itself ready keeps a whole failure domain in the balancer.
-func TestAnInstanceThatStartsBehindACutIsNotReady(t *testing.T) {
+func TestNotReadyWhenStartedInPartition(t *testing.T) {
 	e := newEntry(t, &fakeSender{})
 	var members []*fleetpb.Member
 	for _, name := range []string{"1", "2", "3"} {
@@ -289,9 +289,9 @@
 	}
 }
 
-// TestAnInstanceIsNotReadyBeforeStoresAreChosen: at a first start it called itself ready with a configuration and no
+// TestNotReadyWithoutStores: at a first start it called itself ready with a configuration and no
 // stores, and refused each turn.
-func TestAnInstanceIsNotReadyBeforeStoresAreChosen(t *testing.T) {
+func TestNotReadyWithoutStores(t *testing.T) {
 	e := newEntry(t, &fakeSender{})
 	if ready, why := e.Ready(); !ready {
 		t.Fatal(why)
@@ -303,16 +303,16 @@
 	}
 }
 
-// TestLoadsOfAnotherListAreNotTaken: loads go by the order of a list.
-func TestLoadsOfAnotherListAreNotTaken(t *testing.T) {
-	s := &fakeSender{answers: []func(EndpointRequest) (*Response, error){answers(200, "ok")}}
+// TestLoadsOfOtherListAreIgnored: loads go by the order of a list.
+func TestLoadsOfOtherListAreIgnored(t *testing.T) {
+	s := &fakeSender{answers: []func(EndpointRequest) (*Response, error){respond(200, "ok")}}
 	e := newEntry(t, s)
 	e.ReceiveLoads(&fleetpb.EndpointLoads{ListNumber: 99, Running: []uint32{9, 9, 9}, Failing: []uint32{90, 90, 90}})
 	e.ReceiveLoads(&fleetpb.EndpointLoads{ListNumber: 1, Running: []uint32{9}, Failing: []uint32{90}})
 	number := e.fleet.Load().reading.List().GetNumber()
 	e.ReceiveLoads(&fleetpb.EndpointLoads{ListNumber: number, Running: []uint32{0, 0, 0}, Failing: []uint32{90, 90, 0}})
 	for range 6 {
-		e.Serve(t.Context(), ask("/once/1"), &fakeOut{})
+		e.Serve(t.Context(), newRequest("/once/1"), &fakeWriter{})
 	}
 	for _, o := range s.offers {
 		if o.Endpoint.GetName() != "z" {
--- a/rockbarrow/entry/evacuation_test.go
+++ b/rockbarrow/entry/evacuation_test.go
@@ -12,8 +12,8 @@
 )
 
 // spread is a list of endpoints in failure domains a and b.
-func spread(number uint64, inB ...string) *fleetpb.EndpointList {
-	l := list(number)
+func twoDomainList(number uint64, inB ...string) *fleetpb.EndpointList {
+	l := endpointList(number)
 	for _, id := range inB {
 		l.Endpoints = append(l.Endpoints, &fleetpb.Endpoint{Id: id, Service: "s", Address: "127.0.0.1:2", FailureDomain: "b", Slots: 4})
 	}
@@ -30,17 +30,17 @@
 	e.refresh()
 }
 
-// TestAnEvacuatedDomainGetsNothing: nobody read the order, and requests went on to the endpoints there.
-func TestAnEvacuatedDomainGetsNothing(t *testing.T) {
+// TestEvacuatedDomainGetsNoRequests: nobody read the order, and requests went on to the endpoints there.
+func TestEvacuatedDomainGetsNoRequests(t *testing.T) {
 	s := &fakeSender{}
 	e := newEntry(t, s)
-	e.hear(spread(2, "p", "q"))
+	e.applyList(twoDomainList(2, "p", "q"))
 	domains := func() map[string]int {
 		out := map[string]int{}
 		s.offers = nil
 		for i := range 40 {
-			s.answers = append(s.answers, answers(200, "ok"))
-			e.Serve(t.Context(), ask(fmt.Sprint("/once/", i)), &fakeOut{})
+			s.answers = append(s.answers, respond(200, "ok"))
+			e.Serve(t.Context(), newRequest(fmt.Sprint("/once/", i)), &fakeWriter{})
 		}
 		for _, o := range s.offers {
 			out[o.Endpoint.GetDomain()]++
@@ -60,10 +60,10 @@
 		t.Errorf("%d of %d places are left", places(), all)
 	}
 	// Endpoints come and go meanwhile, and one that is leaving stays out.
-	l := spread(3, "p", "q")
+	l := twoDomainList(3, "p", "q")
 	l.Endpoints = append(l.Endpoints, &fleetpb.Endpoint{Id: "new", Service: "s", Address: "127.0.0.1:3", FailureDomain: "a", Slots: 4})
 	l.Endpoints[0].Draining = true
-	e.hear(l)
+	e.applyList(l)
 	if got := domains(); got["a"] != 0 {
 		t.Errorf("%v with a new endpoint in a", got)
 	}
@@ -76,11 +76,11 @@
 	}
 }
 
-// TestARequestIsRefusedWhereAllIsEvacuated, with a time to come back.
-func TestARequestIsRefusedWhereAllIsEvacuated(t *testing.T) {
+// TestRefusalWhenAllDomainsAreEvacuated, with a time to come back.
+func TestRefusalWhenAllDomainsAreEvacuated(t *testing.T) {
 	e := newEntry(t, &fakeSender{})
 	e.evacuate(2, "a")
-	refused, ok := e.Serve(t.Context(), ask("/once/1"), &fakeOut{}).(Rejected)
+	refused, ok := e.Serve(t.Context(), newRequest("/once/1"), &fakeWriter{}).(Rejected)
 	if !ok || refused.Status != 503 || refused.RetryAfter == 0 {
 		t.Errorf("%+v", refused)
 	}
--- a/rockbarrow/entry/scanner.go
+++ b/rockbarrow/entry/event_scanner.go
@@ -10,18 +10,18 @@
 // scanner reads server-sent events as their bytes pass by, and gives them out whole.
 // An answer may come from several endpoints one after another: what an earlier one has
 // given is not given again. The zero value is ready.
-type scanner struct {
+type eventScanner struct {
 	// output is the data of all events, each with a line feed behind it.
 	output []byte
 	// count is the number of whole events.
 	count int
 	// last is the id of the last event that the client has, or "".
-	last string
+	lastID string
 
 	// ready are the bytes of whole events that were not taken yet; block are those of
 	// the event under way.
-	ready, block []byte
-	line         []byte
+	complete, partial []byte
+	line              []byte
 	// id and data belong to the event under way; hasData is true if it has data.
 	id      string
 	data    []byte
@@ -30,22 +30,22 @@
 
 // begin is called before the bytes of each endpoint. The event that the one before
 // stopped in is forgotten.
-func (s *scanner) begin() {
-	s.block, s.line, s.data = s.block[:0], s.line[:0], s.data[:0]
+func (s *eventScanner) startSource() {
+	s.partial, s.line, s.data = s.partial[:0], s.line[:0], s.data[:0]
 	s.id, s.hasData = "", false
 }
 
 // scan takes the next bytes.
-func (s *scanner) scan(b []byte) {
+func (s *eventScanner) scan(b []byte) {
 	for {
 		i := bytes.IndexByte(b, '\n')
 		if i < 0 {
 			s.line = append(s.line, b...)
-			s.block = append(s.block, b...)
+			s.partial = append(s.partial, b...)
 			return
 		}
 		s.line = append(s.line, b[:i]...)
-		s.block = append(s.block, b[:i+1]...)
+		s.partial = append(s.partial, b[:i+1]...)
 		s.endLine(bytes.TrimSuffix(s.line, []byte("\r")))
 		s.line = s.line[:0]
 		b = b[i+1:]
@@ -54,13 +54,13 @@
 
 // take returns the bytes of the events that have become whole since the last call.
 // They are valid until the next scan.
-func (s *scanner) take() []byte {
-	out := s.ready
-	s.ready = s.ready[:0]
+func (s *eventScanner) takeComplete() []byte {
+	out := s.complete
+	s.complete = s.complete[:0]
 	return out
 }
 
-func (s *scanner) endLine(line []byte) {
+func (s *eventScanner) endLine(line []byte) {
 	if len(line) == 0 {
 		s.endEvent()
 		return
@@ -78,23 +78,23 @@
 	s.data = append(s.data, '\n')
 }
 
-func (s *scanner) endEvent() {
-	if !s.hasData || !given(s.id, s.last) {
-		s.ready = append(s.ready, s.block...)
+func (s *eventScanner) endEvent() {
+	if !s.hasData || !alreadyPassed(s.id, s.lastID) {
+		s.complete = append(s.complete, s.partial...)
 		if s.hasData {
 			s.count++
 			s.output = append(s.output, s.data...)
 		}
 		if s.id != "" {
-			s.last = s.id
+			s.lastID = s.id
 		}
 	}
-	s.block, s.data = s.block[:0], s.data[:0]
+	s.partial, s.data = s.partial[:0], s.data[:0]
 	s.id, s.hasData = "", false
 }
 
 // given reports whether an event was given before: ids of events rise.
-func given(id, last string) bool {
+func alreadyPassed(id, last string) bool {
 	n, err := strconv.ParseUint(id, 10, 63)
 	if err != nil {
 		return false
@@ -105,4 +105,6 @@
 
 // whole reports whether the bytes end between two events, of which the client has one
 // at least.
-func (s *scanner) whole() bool { return (s.count > 0 || s.last != "") && len(s.block) == 0 }
+func (s *eventScanner) isComplete() bool {
+	return (s.count > 0 || s.lastID != "") && len(s.partial) == 0
+}
--- a/rockbarrow/entry/way.go
+++ b/rockbarrow/entry/handling.go
@@ -11,7 +11,7 @@
 
 // way is the facts that decide how a request is served. They hold independently of each
 // other: each step of an exchange asks for the one that it needs.
-type way struct {
+type handling struct {
 	// streamed: the answer is events, which are passed on as they come. Else it is
 	// passed on once it is whole.
 	streamed bool
@@ -29,9 +29,9 @@
 }
 
 // wayOf returns the way of a request on a route.
-func wayOf(r *fleetpb.Route, req *Request) way {
+func handlingOf(r *fleetpb.Route, req *Request) handling {
 	streamed := r.GetKind() == fleetpb.RouteKind_ROUTE_KIND_STREAM
-	w := way{streamed: streamed, history: streamed && r.GetHistory(), resumable: streamed && r.GetResumable()}
+	w := handling{streamed: streamed, history: streamed && r.GetHistory(), resumable: streamed && r.GetResumable()}
 	w.reserved = w.history || req.BudgetTokens > 0
 	w.repeatable = w.resumable || r.GetKind() == fleetpb.RouteKind_ROUTE_KIND_REPEATABLE
 	return w
@@ -39,24 +39,24 @@
 
 // outlives reports whether the request runs to its end when its client has left: it may
 // not be repeated, and nobody else ends it.
-func (w way) outlives() bool { return !w.streamed && !w.repeatable }
+func (w handling) outlivesClient() bool { return !w.streamed && !w.repeatable }
 
 // resumption takes up where a client's earlier stream broke off. It returns what the
 // client hears if that can't be.
-func (x *exchange) resumption() Outcome {
+func (x *exchange) checkResumption() Outcome {
 	after := x.request.LastEventID
-	if after == "" || !x.way.streamed {
+	if after == "" || !x.handling.streamed {
 		return nil
 	}
 	if _, err := strconv.ParseUint(after, 10, 63); err != nil {
 		return Rejected{Status: http.StatusBadRequest, Reason: "the last event id is not a number"}
 	}
-	if x.way.history {
+	if x.handling.history {
 		// Its earlier events were not stored, and the turn is kept only as a whole.
 		return Rejected{Status: http.StatusBadRequest, Reason: "a turn whose history is kept starts anew and not after an event"}
 	}
-	if x.way.resumable {
-		x.events.last = after
+	if x.handling.resumable {
+		x.events.lastID = after
 	}
 	return nil
 }
--- a/rockbarrow/entry/pauses_test.go
+++ b/rockbarrow/entry/stalls_test.go
@@ -15,11 +15,11 @@
 
 // hang is an endpoint behind a cut: the connection stays, and nothing comes any more.
 // Some events may have come before.
-func hang(before string) func(ctx context.Context, o EndpointRequest) (*Response, error) {
+func stalledEndpoint(before string) func(ctx context.Context, o EndpointRequest) (*Response, error) {
 	return func(ctx context.Context, o EndpointRequest) (*Response, error) {
 		if before == "" {
 			<-ctx.Done()
-			return broken(o)
+			return connectionReset(o)
 		}
 		read, write := io.Pipe()
 		go io.WriteString(write, before)
@@ -29,17 +29,17 @@
 }
 
 // patient is the document of streams with a timeout that no test reaches.
-func patient() *fleetpb.Document {
-	d := streams()
+func longTimeoutDocument() *fleetpb.Document {
+	d := streamDocument()
 	for _, r := range d.GetRoutes() {
 		r.TimeoutMs = uint32((10 * time.Minute).Milliseconds())
 	}
 	return d
 }
 
-// TestAnEndpointBehindACutIsNotWaitedFor: a client that hears at once tries elsewhere
+// TestUnreachableEndpointIsAbandoned: a client that hears at once tries elsewhere
 // while there is time left. The requests have minutes, so that this hangs if they wait.
-func TestAnEndpointBehindACutIsNotWaitedFor(t *testing.T) {
+func TestUnreachableEndpointIsAbandoned(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tests := []struct {
 			name, route, before string
@@ -51,12 +51,12 @@
 		}
 		view := startStores(t)
 		for _, test := range tests {
-			e := newStreamEntry(t, view, senderFunc(hang(test.before)))
-			e.domains.set([]string{"a", "b"})
-			e.Decode = func([]byte) (*fleetpb.Document, error) { return patient(), nil }
+			e := newStreamEntry(t, view, senderFunc(stalledEndpoint(test.before)))
+			e.domains.setUnreachable([]string{"a", "b"})
+			e.Decode = func([]byte) (*fleetpb.Document, error) { return longTimeoutDocument(), nil }
 			e.table.Store(nil)
 			e.refresh()
-			switch o := e.Serve(t.Context(), turnOf(test.route, test.name, "p "+test.name, 0), &fakeOut{}).(type) {
+			switch o := e.Serve(t.Context(), newTurn(test.route, test.name, "p "+test.name, 0), &fakeWriter{}).(type) {
 			case Rejected:
 				if want, ok := test.want.(Rejected); !ok || want.Status != o.Status {
 					t.Errorf("%s: %#v", test.name, o)
@@ -72,25 +72,25 @@
 	})
 }
 
-// TestPausesInsideAreNotCuts: an endpoint that is reached may take its time.
-func TestPausesInsideAreNotCuts(t *testing.T) {
-	d := &domains{}
-	d.set([]string{"far"})
+// TestStallDetector: an endpoint that is reached may take its time.
+func TestStallDetector(t *testing.T) {
+	d := &domainHealth{}
+	d.setUnreachable([]string{"far"})
 	tests := []struct {
 		name   string
-		p      *pauses
+		p      *stallDetector
 		pause  time.Duration
 		wanted bool
 	}{
-		{"a domain that is reached", &pauses{domains: d, domain: "near", flowing: true}, time.Minute, false},
-		{"no endpoint yet", &pauses{domains: d}, time.Minute, false},
-		{"a short pause in a cut", &pauses{domains: d, domain: "far", flowing: true}, cutAfter - 1, false},
-		{"a pause in a cut", &pauses{domains: d, domain: "far"}, cutAfter, true},
-		{"a queue elsewhere", &pauses{domains: d, domain: "near", resumes: true}, time.Minute, false},
-		{"a stream that another can go on with", &pauses{domains: d, domain: "near", resumes: true, flowing: true}, stalledAfter, true},
+		{"a domain that is reached", &stallDetector{domains: d, domain: "near", streaming: true}, time.Minute, false},
+		{"no endpoint yet", &stallDetector{domains: d}, time.Minute, false},
+		{"a short pause in a cut", &stallDetector{domains: d, domain: "far", streaming: true}, unreachableStallTimeout - 1, false},
+		{"a pause in a cut", &stallDetector{domains: d, domain: "far"}, unreachableStallTimeout, true},
+		{"a queue elsewhere", &stallDetector{domains: d, domain: "near", canResume: true}, time.Minute, false},
+		{"a stream that another can go on with", &stallDetector{domains: d, domain: "near", canResume: true, streaming: true}, stallTimeout, true},
 	}
 	for _, test := range tests {
-		if got := test.p.exceedsPatience(test.pause); got != test.wanted {
+		if got := test.p.isStalled(test.pause); got != test.wanted {
 			t.Errorf("%s: %v", test.name, got)
 		}
 	}
--- a/rockbarrow/entry/stores_test.go
+++ b/rockbarrow/entry/stores_test.go
@@ -30,7 +30,7 @@
 	listeners sync.Map
 }
 
-var inMemory network
+var memoryNetwork network
 
 func (n *network) listen() (address string, l net.Listener) {
 	address = fmt.Sprint("memory-", n.last.Add(1))
@@ -90,22 +90,22 @@
 func (a memoryAddress) String() string  { return string(a) }
 
 // backgroundEnds is longer than any call in the background, by the clock that stands still.
-const backgroundEnds = time.Minute
+const backgroundTimeout = time.Minute
 
 // startStores runs three stores, each with a disk of its own, and returns a view of
 // them.
 func startStores(t *testing.T) *fleetpb.View {
 	// Settlements in the background outlive their requests. Cleaned up first is what came
 	// last, so that this is the end.
-	t.Cleanup(func() { <-time.After(backgroundEnds) })
+	t.Cleanup(func() { <-time.After(backgroundTimeout) })
 	view := &fleetpb.View{Epoch: 1, Copies: 3}
 	var watches []*watch.Client
 	for i := range 3 {
-		address, l := inMemory.listen()
+		address, l := memoryNetwork.listen()
 		m := &fleetpb.Member{Instance: fmt.Sprint("store-", i), Storage: uint64(i + 1), FailureDomain: fmt.Sprint(i), Address: address}
 		view.Members = append(view.Members, m)
-		w := &watch.Client{Self: m, Log: quiet()}
-		s := &store.Store{Self: m, DataDir: t.TempDir(), Watch: w, Pool: &dial.Pool{}, Log: quiet(), Metrics: tally.NoopScope}
+		w := &watch.Client{Self: m, Log: discardLogger()}
+		s := &store.Store{Self: m, DataDir: t.TempDir(), Watch: w, Pool: &dial.Pool{}, Log: discardLogger(), Metrics: tally.NoopScope}
 		closeLog, err := s.Open()
 		if err != nil {
 			t.Fatal(err)
--- a/rockbarrow/entry/updates.go
+++ b/rockbarrow/entry/updates.go
@@ -24,29 +24,29 @@
 
 // fetchPause lies between tries to fetch a table, each of which asks all control
 // instances: some tens of round trips.
-const fetchPause = 50 * time.Millisecond
+const fetchRetryInterval = 50 * time.Millisecond
 
 // signal wakes the one goroutine that takes over one kind of signal.
 type signal struct {
-	c chan struct{}
+	ready chan struct{}
 	// came is when the oldest news came that were not taken over yet, in nanoseconds
 	// since 1970, zero if there are none.
-	came atomic.Int64
+	pendingSince atomic.Int64
 }
 
-func newSignal() *signal { return &signal{c: make(chan struct{}, 1)} }
+func newSignal() *signal { return &signal{ready: make(chan struct{}, 1)} }
 
-func (n *signal) wake() {
-	n.came.CompareAndSwap(0, time.Now().UnixNano())
+func (n *signal) notify() {
+	n.pendingSince.CompareAndSwap(0, time.Now().UnixNano())
 	select {
-	case n.c <- struct{}{}:
+	case n.ready <- struct{}{}:
 	default:
 	}
 }
 
 // taken returns when the news came that are taken over now.
-func (n *signal) taken() time.Time {
-	if at := n.came.Swap(0); at > 0 {
+func (n *signal) take() time.Time {
+	if at := n.pendingSince.Swap(0); at > 0 {
 		return time.Unix(0, at)
 	}
 	return time.Now()
@@ -54,22 +54,22 @@
 
 // runTables takes over new configurations until ctx ends. It has a goroutine of its own:
 // a large configuration may take long, and no other news wait for it.
-func (e *Entry) runTables(ctx context.Context) {
+func (e *Entry) runTableUpdates(ctx context.Context) {
 	for {
 		select {
-		case <-e.tableUpdates.c:
+		case <-e.tableUpdates.ready:
 		case <-ctx.Done():
 			return
 		}
-		e.takeTable(ctx, e.tableUpdates.taken())
+		e.updateTable(ctx, e.tableUpdates.take())
 	}
 }
 
 // takeTable brings the newest known configuration into force. It tries again while control
 // is not reached.
-func (e *Entry) takeTable(ctx context.Context, came time.Time) {
+func (e *Entry) updateTable(ctx context.Context, came time.Time) {
 	for tries := 0; ; tries++ {
-		err := e.refreshTable(ctx, came)
+		err := e.applyTable(ctx, came)
 		if err == nil {
 			return
 		}
@@ -78,18 +78,18 @@
 		if tries == 0 || !again {
 			e.Log.WithError(err).WithField("again", again).Error("a configuration is not in force")
 		}
-		if !again || !wait.For(ctx, fetchPause) {
+		if !again || !wait.For(ctx, fetchRetryInterval) {
 			return
 		}
 	}
 }
 
 // runFleets takes over new lists of endpoints until ctx ends.
-func (e *Entry) runFleets(ctx context.Context) {
+func (e *Entry) runListUpdates(ctx context.Context) {
 	for {
 		select {
-		case <-e.listUpdates.c:
-			e.refreshFleet(e.listUpdates.taken())
+		case <-e.listUpdates.ready:
+			e.updateFleet(e.listUpdates.take())
 		case <-ctx.Done():
 			return
 		}
@@ -98,7 +98,7 @@
 
 // refreshTable makes the table of the newest known configuration. What came of it by the
 // time of a failure is in force.
-func (e *Entry) refreshTable(ctx context.Context, came time.Time) error {
+func (e *Entry) applyTable(ctx context.Context, came time.Time) error {
 	c := e.Watch.State().GetConfiguration()
 	old := e.table.Load()
 	if c.GetVersion() <= old.Version() {
@@ -134,24 +134,24 @@
 }
 
 // refreshFleet brings the newest known list into force. It costs what has changed.
-func (e *Entry) refreshFleet(came time.Time) {
+func (e *Entry) updateFleet(came time.Time) {
 	reading := e.Watch.List()
 	if reading == nil {
 		return
 	}
 	old := e.fleet.Load()
 	now := time.Now()
-	due := !e.returns.IsZero() && !now.Before(e.returns)
+	due := !e.readmitAt.IsZero() && !now.Before(e.readmitAt)
 	evacuated := evacuatedDomains(e.Watch.State())
 	if old != nil && old.reading.Version() == reading.Version() && slices.Equal(old.evacuated, evacuated) && !due {
 		return
 	}
 	var next *placement.Fleet
 	if old == nil {
-		changed, _ := e.listed(now, nil, &fleet{reading: reading, evacuated: evacuated})
+		changed, _ := e.diffLists(now, nil, &fleet{reading: reading, evacuated: evacuated})
 		next = placement.NewServiceFleet(now, changed, placement.Spread, nil)
 	} else {
-		changed, gone := e.listed(now, old, &fleet{reading: reading, evacuated: evacuated})
+		changed, gone := e.diffLists(now, old, &fleet{reading: reading, evacuated: evacuated})
 		next = old.Next(now, changed, gone)
 	}
 	e.fleet.Store(&fleet{Fleet: next, reading: reading, evacuated: evacuated})
@@ -172,7 +172,7 @@
 
 // listed returns the endpoints that have changed from one fleet, which may be nil, to the next and may get new requests,
 // and the ids of those that may not any more.
-func (e *Entry) listed(now time.Time, old, next *fleet) (changed []placement.ListedEndpoint, gone []string) {
+func (e *Entry) diffLists(now time.Time, old, next *fleet) (changed []placement.ListedEndpoint, gone []string) {
 	var present, absent []*fleetpb.Endpoint
 	to := next.reading.Version()
 	catalog.ForEachDifference(old.version(), to, func(before, after *fleetpb.Endpoint) {
@@ -182,20 +182,20 @@
 			absent = append(absent, before)
 		}
 	})
-	for _, p := range e.departures.waiting() {
+	for _, p := range e.draining.ids() {
 		if i, ok := to.Index(p); ok {
 			present = append(present, to.Proto().GetEndpoints()[i])
 		}
 	}
-	present = append(present, next.moved(old)...)
+	present = append(present, next.evacuationChanges(old)...)
 	slices.SortFunc(present, func(a, b *fleetpb.Endpoint) int { return strings.Compare(a.GetId(), b.GetId()) })
 	present = slices.CompactFunc(present, func(a, b *fleetpb.Endpoint) bool { return a == b })
-	lives := e.presentLives(now, present, to.Number())
-	usable, leaving, wait := e.departures.take(now, present, absent, lives)
-	e.returns = time.Time{}
+	lives := e.currentIncarnations(now, present, to.Number())
+	usable, leaving, wait := e.draining.update(now, present, absent, lives)
+	e.readmitAt = time.Time{}
 	if wait > 0 {
-		e.returns = now.Add(wait)
-		time.AfterFunc(wait, e.listUpdates.wake)
+		e.readmitAt = now.Add(wait)
+		time.AfterFunc(wait, e.listUpdates.notify)
 	}
 	may := make(map[string]bool, len(usable))
 	for _, p := range usable {
@@ -224,22 +224,22 @@
 }
 
 // forgetLivesEvery is how often the lives of endpoints that are gone are looked for.
-const forgetLivesEvery = 10 * time.Second
+const incarnationExpiryInterval = 10 * time.Second
 
 // presentLives returns the lives of endpoints of a list by their ids. A list that lags brings no ended life back.
-func (e *Entry) presentLives(now time.Time, endpoints []*fleetpb.Endpoint, list uint64) map[string]incarnation.ID {
+func (e *Entry) currentIncarnations(now time.Time, endpoints []*fleetpb.Endpoint, list uint64) map[string]incarnation.ID {
 	out := make(map[string]incarnation.ID, len(endpoints))
 	for _, p := range endpoints {
-		present, began := e.lives.Observe(now, incarnation.ID{EndpointID: p.GetId(), StartMS: p.GetBornMs()})
+		present, began := e.incarnations.Observe(now, incarnation.ID{EndpointID: p.GetId(), StartMS: p.GetBornMs()})
 		if began {
 			e.Log.WithFields(logrus.Fields{"endpoint": present.EndpointID, "born_ms": present.StartMS, "list": list}).
 				Info("an endpoint has started again under its id")
 		}
 		out[p.GetId()] = present
 	}
-	if now.Sub(e.livesForgotten) > forgetLivesEvery {
-		e.livesForgotten = now
-		e.lives.Expire(now)
+	if now.Sub(e.incarnationsExpired) > incarnationExpiryInterval {
+		e.incarnationsExpired = now
+		e.incarnations.Expire(now)
 	}
 	return out
 }
@@ -262,7 +262,7 @@
 }
 
 // moved returns the listed endpoints of the failure domains that were evacuated, or taken back, since an earlier fleet.
-func (f *fleet) moved(old *fleet) []*fleetpb.Endpoint {
+func (f *fleet) evacuationChanges(old *fleet) []*fleetpb.Endpoint {
 	if old == nil || slices.Equal(f.evacuated, old.evacuated) {
 		return nil
 	}
--- a/rockbarrow/entry/updates_test.go
+++ b/rockbarrow/entry/updates_test.go
@@ -13,17 +13,17 @@
 	"rockbarrow.dev/schema/fleetpb"
 )
 
-// TestALeavingEndpointDoesNotWaitForAConfiguration: a configuration gained 1,400 routes
+// TestDrainingIsNotDelayedByConfiguration: a configuration gained 1,400 routes
 // while endpoints were replaced. An instance took it in for seconds, and until then sent
 // requests to an endpoint whose leaving it had heard of, because tables and fleets were
 // renewed one after the other.
-func TestALeavingEndpointDoesNotWaitForAConfiguration(t *testing.T) {
+func TestDrainingIsNotDelayedByConfiguration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := newEntry(t, &fakeSender{})
 		taken := make(chan struct{})
 		e.Decode = func([]byte) (*fleetpb.Document, error) {
 			<-taken
-			d := document()
+			d := testDocument()
 			d.Version = 2
 			return d, nil
 		}
@@ -32,7 +32,7 @@
 		go e.Run(ctx)
 		e.Watch.UpdateState(&fleetpb.State{Number: 2, Configuration: &fleetpb.Configuration{Version: 2}, View: &fleetpb.View{Epoch: 1, Copies: 3}})
 		synctest.Wait()
-		e.Watch.UpdateList(list(2, "y"), time.Now())
+		e.Watch.UpdateList(endpointList(2, "y"), time.Now())
 		synctest.Wait()
 		if e.fleet.Load().Endpoint("y") != nil {
 			t.Error("a leaving endpoint still gets requests while a configuration is taken in")
@@ -50,11 +50,11 @@
 	})
 }
 
-// TestATableThatNobodyTellsIsAskedForAgain: until control is reached, and what came of it
+// TestTableFetchIsRetried: until control is reached, and what came of it
 // by then is in force meanwhile. What is not readable is not asked for without end.
-func TestATableThatNobodyTellsIsAskedForAgain(t *testing.T) {
+func TestTableFetchIsRetried(t *testing.T) {
 	table := func(version uint64) *routing.Table {
-		d := document()
+		d := testDocument()
 		d.Version = version
 		made, err := routing.New(d)
 		if err != nil {
@@ -81,13 +81,13 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		go e.Run(ctx)
 		e.Watch.UpdateState(&fleetpb.State{Number: 2, Configuration: &fleetpb.Configuration{Version: 3}})
-		<-time.After(2*fetchPause + fetchPause/2)
+		<-time.After(2*fetchRetryInterval + fetchRetryInterval/2)
 		synctest.Wait()
 		if v := e.table.Load().Version(); v != 3 || len(fetched) != 3 || fetched[2] != 2 {
 			t.Errorf("version %d is in force after asking with %v", v, fetched)
 		}
 		e.Watch.UpdateState(&fleetpb.State{Number: 3, Configuration: &fleetpb.Configuration{Version: 4}})
-		<-time.After(10 * fetchPause)
+		<-time.After(10 * fetchRetryInterval)
 		synctest.Wait()
 		if v := e.table.Load().Version(); v != 3 || len(fetched) != 4 {
 			t.Errorf("version %d is in force after asking with %v", v, fetched)
@@ -97,15 +97,15 @@
 	})
 }
 
-// TestControlOfTheVersionBeforeTellsDocuments: they are taken as they come.
-func TestControlOfTheVersionBeforeTellsDocuments(t *testing.T) {
+// TestWholeDocumentFromPreviousVersion: they are taken as they come.
+func TestWholeDocumentFromPreviousVersion(t *testing.T) {
 	e := newEntry(t, &fakeSender{})
 	e.FetchTable = func(context.Context, *routing.Table, uint64) (*routing.Table, error) {
 		t.Error("a table was asked for that came as a document")
 		return nil, &watch.TableFetchError{}
 	}
 	e.Decode = func([]byte) (*fleetpb.Document, error) {
-		d := document()
+		d := testDocument()
 		d.Version = 2
 		return d, nil
 	}
