--- a/rockbarrow/entry/admission.go
+++ b/rockbarrow/entry/admission.go
@@ -12,11 +12,11 @@
 	"rockbarrow.dev/rockbarrow/placement"
 )
 
-// resizeEvery is how often the places of a service are counted anew: a few times for
-// each word of other instances, which comes each 0.3 s.
+// resizeInterval is how often a service's slots are recounted. It is several times shorter than
+// the interval of load reports from other instances.
 const resizeInterval = 50 * time.Millisecond
 
-// gates holds the limiter of each service of model engines. The zero value is ready.
+// serviceLimiters holds the limiter of each service. The zero value is ready to use.
 type serviceLimiters struct {
 	mu        sync.Mutex
 	byService map[string]*serviceLimiter
@@ -34,36 +34,36 @@
 	return s.byService[service]
 }
 
-// gate is the limiter of one service, with the requests that wait at it.
+// serviceLimiter is the concurrency limiter of one service and its waiting requests.
 type serviceLimiter struct {
 	mu      sync.Mutex
 	limiter limiter.Limiter
 	lastID  limiter.ID
-	// waiting holds a channel with room for the one action that a request gets.
+	// waiting holds a channel for each waiting request, buffered for its one action.
 	waiting map[limiter.ID]chan limiter.Action
 	resized time.Time
 }
 
-// enter waits for a place. The returned function gives it back; it is nil if there is
-// none, and the action then says why: [limiter.Reject], or nil once ctx has ended.
-func (g *serviceLimiter) acquire(ctx context.Context, places func() int, a limiter.Arrived) (func(), limiter.Action) {
-	answer := g.enqueue(&a, places)
-	// Places also change while nothing arrives and nothing ends.
+// acquire waits for a slot and returns the function that releases it. Without a slot the
+// function is nil, and the action is a [limiter.Reject], or nil if ctx ended.
+func (l *serviceLimiter) acquire(ctx context.Context, slots func() int, a limiter.Arrived) (func(), limiter.Action) {
+	action := l.enqueue(&a, slots)
+	// The number of slots also changes while no request arrives or finishes.
 	tick := time.NewTicker(resizeInterval)
 	defer tick.Stop()
 	for {
 		select {
-		case act := <-answer:
-			return g.releaseFunc(act), act
+		case act := <-action:
+			return l.releaseFunc(act), act
 		case <-tick.C:
-			g.resize(places)
+			l.resize(slots)
 		case <-ctx.Done():
-			g.handle(limiter.Cancelled{ID: a.ID})
+			l.handle(limiter.Cancelled{ID: a.ID})
 			select {
-			case act := <-answer:
-				// It came in the same moment.
-				if leave := g.releaseFunc(act); leave != nil {
-					leave()
+			case act := <-action:
+				// The slot was granted while ctx ended.
+				if release := l.releaseFunc(act); release != nil {
+					release()
 				}
 			default:
 			}
@@ -72,54 +72,54 @@
 	}
 }
 
-// arrive names a request and hands it to the limiter. The channel delivers its action.
-func (g *serviceLimiter) enqueue(a *limiter.Arrived, places func() int) <-chan limiter.Action {
-	g.resize(places)
-	answer := make(chan limiter.Action, 1)
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.lastID++
-	a.ID = g.lastID
-	g.waiting[a.ID] = answer
-	g.handleLocked(time.Now(), *a)
-	return answer
+// enqueue assigns the request an id and adds it to the limiter. The channel delivers its action.
+func (l *serviceLimiter) enqueue(a *limiter.Arrived, slots func() int) <-chan limiter.Action {
+	l.resize(slots)
+	action := make(chan limiter.Action, 1)
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.lastID++
+	a.ID = l.lastID
+	l.waiting[a.ID] = action
+	l.handleLocked(time.Now(), *a)
+	return action
 }
 
-// leaving returns the function that gives the place of an action back, or nil if the
-// action gave none.
-func (g *serviceLimiter) releaseFunc(act limiter.Action) func() {
+// releaseFunc returns the function that releases the slot granted by an action, or nil if it
+// granted none.
+func (l *serviceLimiter) releaseFunc(act limiter.Action) func() {
 	start, ok := act.(limiter.Start)
 	if !ok {
 		return nil
 	}
 	id := start.ID
-	return func() { g.handle(limiter.Finished{ID: id}) }
+	return func() { l.handle(limiter.Finished{ID: id}) }
 }
 
-// resize counts the places anew, unless that was done just now.
-func (g *serviceLimiter) resize(places func() int) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+// resize recounts the slots unless that was done within resizeInterval.
+func (l *serviceLimiter) resize(slots func() int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	now := time.Now()
-	if now.Sub(g.resized) < resizeInterval {
+	if now.Sub(l.resized) < resizeInterval {
 		return
 	}
-	g.resized = now
-	g.handleLocked(now, limiter.Resized{Slots: places()})
+	l.resized = now
+	l.handleLocked(now, limiter.Resized{Slots: slots()})
 }
 
-func (g *serviceLimiter) handle(e limiter.Event) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+func (l *serviceLimiter) handle(e limiter.Event) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	if w, ok := e.(limiter.Cancelled); ok {
-		delete(g.waiting, w.ID)
+		delete(l.waiting, w.ID)
 	}
-	g.handleLocked(time.Now(), e)
+	l.handleLocked(time.Now(), e)
 }
 
-// handle passes actions on; the caller holds mu.
-func (g *serviceLimiter) handleLocked(now time.Time, e limiter.Event) {
-	for _, act := range g.limiter.Handle(now, e) {
+// handleLocked delivers the resulting actions. The caller holds mu.
+func (l *serviceLimiter) handleLocked(now time.Time, e limiter.Event) {
+	for _, act := range l.limiter.Handle(now, e) {
 		var id limiter.ID
 		switch act := act.(type) {
 		case limiter.Start:
@@ -127,22 +127,22 @@
 		case limiter.Reject:
 			id = act.ID
 		}
-		if answer := g.waiting[id]; answer != nil {
-			answer <- act
-			delete(g.waiting, id)
+		if action := l.waiting[id]; action != nil {
+			action <- act
+			delete(l.waiting, id)
 		}
 	}
 }
 
-// admit waits until the request may be at an endpoint. The returned function gives its
-// place back; without one the outcome says what the client hears.
+// acquireSlot waits for a concurrency slot and returns the function that releases it. Without a
+// slot it returns a non-nil outcome.
 func (x *exchange) acquireSlot(ctx context.Context) (func(), Outcome) {
 	if !x.handling.streamed || x.service.GetSlots() == 0 {
 		return func() {}, nil
 	}
-	leave, act := x.entry.limiters.get(x.service.GetName()).acquire(ctx, x.slots, x.arrival())
-	if leave != nil {
-		return leave, nil
+	release, act := x.entry.limiters.get(x.service.GetName()).acquire(ctx, x.slots, x.arrival())
+	if release != nil {
+		return release, nil
 	}
 	if reject, ok := act.(limiter.Reject); ok {
 		return nil, Rejected{Status: http.StatusServiceUnavailable, RetryAfter: reject.RetryAfter, Reason: "all places at endpoints are taken by programs under way"}
@@ -150,28 +150,28 @@
 	return nil, Rejected{Status: http.StatusServiceUnavailable, RetryAfter: longRetryAfter, Reason: "no place at an endpoint within its time"}
 }
 
-// arrival is the request as its limiter sees it.
+// arrival describes the request to its limiter.
 func (x *exchange) arrival() limiter.Arrived {
 	r := x.request
-	spent := time.Since(r.Arrived)
+	elapsed := time.Since(r.Arrived)
 	return limiter.Arrived{
 		InProgress: r.PreviousTurn != "" || x.previous.EndpointID != "" || r.LastEventID != "",
-		Remaining:  r.TimeToFinish - spent, HasDeadline: r.HasTimeToFinish,
-		MaxWait: time.Duration(x.route.GetObjectiveMs())*time.Millisecond - spent, ClientTimeout: x.firstEventTimeout() - spent,
+		Remaining:  r.TimeToFinish - elapsed, HasDeadline: r.HasTimeToFinish,
+		MaxWait: time.Duration(x.route.GetObjectiveMs())*time.Millisecond - elapsed, ClientTimeout: x.firstEventTimeout() - elapsed,
 		Priority: x.priority(), Customer: x.customer.GetName(), Weight: x.customer.GetRequestsPerSecond(),
 	}
 }
 
-// clientPatience is how long the client waits for the first event, from its arrival on.
+// firstEventTimeout is how long after its arrival the client waits for the first event.
 func (x *exchange) firstEventTimeout() time.Duration {
-	whole := x.deadline.Sub(x.request.Arrived)
-	if first := x.route.GetPauseMs(); first > 0 {
-		return min(whole, time.Duration(first)*time.Millisecond)
+	total := x.deadline.Sub(x.request.Arrived)
+	if pauseMS := x.route.GetPauseMs(); pauseMS > 0 {
+		return min(total, time.Duration(pauseMS)*time.Millisecond)
 	}
-	return whole
+	return total
 }
 
-// places is how many requests this instance may have at the service's endpoints.
+// slots returns how many requests this instance may have running at the service's endpoints.
 func (x *exchange) slots() int {
 	f := x.entry.fleet.Load()
 	return f.Slots(time.Now(), placement.Class{Service: x.service.GetName()}, x.entry.Watch.EntryCount())
--- a/rockbarrow/entry/api.go
+++ b/rockbarrow/entry/api.go
@@ -17,113 +17,117 @@
 
 // Request is a client's request.
 type Request struct {
-	// ID is the client's name for this try.
+	// ID is the request id that the client chose.
 	ID string
-	// Method, Target, Host and Header are passed on as they are; Header lacks
-	// what concerns one connection only and what only the system may set.
+	// Method, Target, Host and Header are forwarded unchanged. Header has no hop-by-hop
+	// fields and none that only the system may set.
 	Method, Target, Host string
 	Header               http.Header
-	// Path is the path of the target, for routing.
+	// Path is the path component of Target. Routing uses it.
 	Path string
 	Body []byte
-	// Arrived is when the request was read; Wait is how long the client waits
-	// from then on, zero if it did not say.
+	// Arrived is when the request was read. ClientTimeout is how long the client waits
+	// from then on, zero if unknown.
 	Arrived       time.Time
 	ClientTimeout time.Duration
-	// Program, Line, Previous and Budget describe a turn: the program, the line of
-	// turns in it, the turn before and the tokens of all its turns.
+	// Program, Session and PreviousTurn identify a turn's program, its session within
+	// the program and the turn that it continues. BudgetTokens limits all turns of the
+	// program, zero if unlimited.
 	Program, Session, PreviousTurn string
 	BudgetTokens                   uint64
-	// Prompt and Most are the tokens of the prompt, and of the longest answer.
+	// PromptTokens is the size of the prompt, MaxAnswerTokens the limit of the answer.
 	PromptTokens, MaxAnswerTokens uint64
-	// LastEvent is the id of the last event that the client has of an earlier answer to
-	// the same request, or "".
+	// LastEventID is the id of the last event that the client received in an earlier
+	// response to the same request, or "".
 	LastEventID string
-	// Finish is the time left on arrival until the program should be over, where
-	// HasFinish says that the client told it.
+	// TimeToFinish is the time on arrival until the program should finish. It is valid
+	// only if HasTimeToFinish is true.
 	TimeToFinish    time.Duration
 	HasTimeToFinish bool
-	// Affinity names the object that the request is about, or is "".
+	// AffinityKey identifies the object that the request concerns, or is "".
 	AffinityKey string
-	// Key is the digest of the customer's key, where HasKey says that there is one.
+	// Key is the digest of the customer's key. It is valid only if HasKey is true.
 	Key    routing.KeyDigest
 	HasKey bool
 }
 
-// EndpointRequest is a request on its way to one endpoint.
+// EndpointRequest is a client's request as it is sent to one endpoint.
 type EndpointRequest struct {
 	Request *Request
 	Body    []byte
-	// Endpoint must run it, and no other; Life is what is known of its life.
+	// Endpoint is the only endpoint that may execute the request. Incarnation is its
+	// known incarnation.
 	Endpoint    *configpb.Endpoint
 	Incarnation incarnation.ID
-	// Deadline is when the endpoint is to stop.
+	// Deadline is when the endpoint must stop working on the request.
 	Deadline time.Time
-	// Priority 0 is the most urgent.
+	// Priority is lower for more urgent requests; 0 is the most urgent.
 	Priority uint32
-	// Connections bounds this instance's connections to the endpoint.
+	// MaxConnections bounds this instance's connections to the endpoint.
 	MaxConnections int
-	// Stream is true if the answer comes in events.
+	// Stream is true if the response is a stream of server-sent events.
 	Stream bool
-	// After is the id of the event after which the answer is to go on, or "".
+	// ResumeAfter is the id of the event after which the stream must continue, or "".
 	ResumeAfter string
-	// Customer is whose request it is, or "".
+	// Customer is the name of the authenticated customer, or "".
 	Customer string
-	// HideKey is true where keys are asked for: then the client's key is not the endpoint's to see.
+	// StripKey is true if the client's key must not be forwarded, because it
+	// authenticates the client here.
 	StripKey bool
 }
 
-// Response is what an endpoint answered.
+// Response is an endpoint's response.
 type Response struct {
 	Status int
 	Header http.Header
-	// Length is the length of the body, or -1.
+	// ContentLength is the length of the body, or -1 if unknown.
 	ContentLength int64
-	// Body ends with io.EOF only if the answer is whole. Closing it early ends
+	// Body ends with io.EOF only if the response is complete. Closing it early cancels
 	// the endpoint's work.
 	Body io.ReadCloser
-	// Reconnected is true if the endpoint had closed a connection at rest that was to be used.
+	// Reconnected is true if the endpoint had closed the idle connection chosen first.
 	Reconnected bool
 }
 
-// Sender carries offers to endpoints.
+// Sender sends requests to endpoints.
 type Sender interface {
-	// Send returns the beginning of the answer, a [NotExecutedError] or a
-	// [OutcomeUnknownError].
-	Send(ctx context.Context, o EndpointRequest) (*Response, error)
+	// Send returns once the response header is received. Its error is a
+	// [NotExecutedError] or an [OutcomeUnknownError].
+	Send(ctx context.Context, r EndpointRequest) (*Response, error)
 }
 
-// ResponseWriter takes the answer to a request.
+// ResponseWriter sends the response to a client.
 type ResponseWriter interface {
-	// Start sends the head. Length is -1 if it is not known.
+	// Start sends the status and header. Length is -1 if unknown.
 	Start(status int, h http.Header, length int64)
-	// Write sends a part of the body at once.
+	// Write sends a part of the body and flushes it.
 	Write(b []byte) error
 }
 
-// NotExecutedError says that an endpoint certainly did not run a request and never
-// will.
+// NotExecutedError reports that an endpoint did not execute a request and never will,
+// so that it can be sent to another endpoint.
 type NotExecutedError struct {
 	Endpoint, Reason string
-	// Busy is true if the endpoint was full and not at fault.
+	// Busy is true if the endpoint was at capacity rather than faulty.
 	Busy bool
-	// Silent is true if nothing at all came back on the network.
+	// NoResponse is true if the network gave no response at all.
 	NoResponse bool
 }
 
-// Error describes the refusal.
+// Error implements error.
 func (e *NotExecutedError) Error() string {
 	return fmt.Sprintf("entry: endpoint %s did not run it: %s", e.Endpoint, e.Reason)
 }
 
-// OutcomeUnknownError says that an endpoint may have run a request whose answer is lost.
+// OutcomeUnknownError reports that an endpoint may have executed a request whose response
+// was lost.
 type OutcomeUnknownError struct {
 	Endpoint, Reason string
-	// Silent is true if nothing at all came back on the network.
+	// NoResponse is true if the network gave no response at all.
 	NoResponse bool
 }
 
-// Error describes the loss.
+// Error implements error.
 func (e *OutcomeUnknownError) Error() string {
 	return fmt.Sprintf("entry: endpoint %s may have run it: %s", e.Endpoint, e.Reason)
 }
@@ -131,28 +135,29 @@
 // Outcome is how a request ended: [Completed], [Rejected] or [Aborted].
 type Outcome interface{ outcome() }
 
-// Completed says that the whole answer was written.
+// Completed is the outcome of a request whose whole response was written.
 type Completed struct{}
 
-// Rejected says that nothing was written yet and what the client is to be told.
+// Rejected is the outcome of a request of which nothing was written. The client gets an
+// error response.
 type Rejected struct {
 	Status int
-	// RetryAfter is when to come back; zero tells nothing.
+	// RetryAfter is when the client should retry, zero to leave it out.
 	RetryAfter time.Duration
 	Reason     string
 }
 
-// Aborted says that the answer began and can't be ended: the connection must be
-// closed so that it does not look whole.
+// Aborted is the outcome of a request whose response was written in part. The connection
+// must be closed so that the response does not look complete.
 type Aborted struct{ Reason string }
 
 func (Completed) outcome() {}
 func (Rejected) outcome()  {}
 func (Aborted) outcome()   {}
 
-// Decode reads a configuration as operators wrote it.
+// DecodeFunc parses a configuration document as operators wrote it.
 type DecodeFunc func(document []byte) (*fleetpb.Document, error)
 
-// FetchTable makes a table of at least a version of the one held. With an error it returns
-// how far it came.
+// FetchTableFunc updates a routing table to at least the given version. With an error, it
+// returns the newest table that it could make.
 type FetchTableFunc func(ctx context.Context, held *routing.Table, version uint64) (*routing.Table, error)
--- a/rockbarrow/entry/customer.go
+++ b/rockbarrow/entry/customer.go
@@ -10,14 +10,14 @@
 	"rockbarrow.dev/rockbarrow/quota"
 )
 
-// confirmedWithin is how lately the table must have been the newest one for a request to be denied by it: less than the
-// time within which a configuration must be in force everywhere, and a few of the confirmations that come each 0.3 s.
+// denialFreshness is how recently the table must have been confirmed as the newest one to deny an unknown key. It is
+// shorter than the time within which a configuration must apply everywhere.
 const denialFreshness = 1500 * time.Millisecond
 
-// HasCustomers reports whether the configuration in force has customers, whose quotas every control instance counts.
+// HasCustomers reports whether the current configuration has customers.
 func (e *Entry) HasCustomers() bool { return e.table.Load().CustomerCount() > 0 }
 
-// identify finds out whose request it is. It returns what the client hears if the request may not go on.
+// authenticate determines the request's customer. It returns a non-nil outcome if the request is rejected.
 func (x *exchange) authenticate() Outcome {
 	now := time.Now()
 	if x.request.HasKey {
@@ -39,8 +39,8 @@
 	return nil
 }
 
-// hasValidKey reports whether a request may still be offered to an endpoint under its customer's key: by the table that it
-// came under or by the one in force.
+// hasValidKey reports whether a request may be sent to an endpoint under its customer's key, by the table that it was
+// routed by or by the current one.
 func (e *Entry) hasValidKey(x *exchange, now time.Time) bool {
 	if x.customer == nil || e.Lease.Valid(now, x.table.Version()) {
 		return true
@@ -50,7 +50,7 @@
 	return ok && c.GetName() == x.customer.GetName() && e.Lease.Valid(now, t.Version())
 }
 
-// retryAfterUnconfirmed is when a client had better come back that was refused because keys could not be confirmed.
+// retryAfterUnconfirmed returns the retry delay for a client rejected because keys are not confirmed.
 func (e *Entry) retryAfterUnconfirmed(now time.Time) time.Duration {
 	if e.isPartitioned() {
 		return e.retryElsewhere(now)
@@ -58,14 +58,14 @@
 	return longRetryAfter
 }
 
-// chargeQuota counts the request against its customer's quota. It returns what the client hears if there is no room.
+// chargeQuota charges the request to its customer's quota. It returns a non-nil outcome if the quota is used up.
 func (x *exchange) chargeQuota(ctx context.Context) Outcome {
 	if x.customer == nil {
 		return nil
 	}
-	begun := time.Now()
-	d := x.entry.Quota.Admit(ctx, begun, x.customer, x.isFirstTurn())
-	x.ownTime += time.Since(begun)
+	start := time.Now()
+	d := x.entry.Quota.Admit(ctx, start, x.customer, x.isFirstTurn())
+	x.ownTime += time.Since(start)
 	x.entry.recordCustomerMetrics(x.customer.GetName(), d)
 	switch d := d.(type) {
 	case quota.Refused:
@@ -82,7 +82,7 @@
 	return x.handling.streamed && x.request.PreviousTurn == "" && x.request.LastEventID == ""
 }
 
-// refundQuota lets another request in if this one certainly did not run.
+// refundQuota returns the charge of a request that was not executed.
 func (x *exchange) refundQuota() {
 	if x.charged && !x.mayHaveRun {
 		x.entry.Quota.Refund(time.Now(), x.customer)
@@ -90,21 +90,19 @@
 }
 
 const (
-	// routePriorities is how many priorities of routes there are for each priority of customers in what endpoints
-	// are told.
+	// routePriorities is the number of route priorities within each customer priority, on the endpoints' scale.
 	routePriorities = 3
-	// leastUrgent is the last of the ten priorities that endpoints know.
+	// lowestEndpointPriority is the least urgent priority that endpoints support.
 	lowestEndpointPriority = 9
 )
 
-// priority is how urgent the request is among those that wait here: the customer's priority goes before that of the
-// route.
+// priority returns the request's priority in this instance's queues. The customer's priority outranks the route's.
 func (x *exchange) priority() uint32 {
-	const routes = 1 << 8
-	return min(x.customer.GetPriority(), routes)*routes + min(x.route.GetPriority(), routes-1)
+	const levels = 1 << 8
+	return min(x.customer.GetPriority(), levels)*levels + min(x.route.GetPriority(), levels-1)
 }
 
-// endpointPriority is the same for endpoints, on their scale.
+// endpointPriority returns the request's priority on the endpoints' scale.
 func (x *exchange) endpointPriority() uint32 {
 	if x.customer == nil {
 		return x.route.GetPriority()
@@ -112,7 +110,7 @@
 	return min(x.customer.GetPriority(), lowestEndpointPriority)*routePriorities + min(x.route.GetPriority(), routePriorities-1)
 }
 
-// countCustomer counts what became of a request of a customer.
+// recordCustomerMetrics counts a quota decision for a customer.
 func (e *Entry) recordCustomerMetrics(customer string, d quota.Decision) {
 	name := "customer_requests"
 	switch d.(type) {
--- a/rockbarrow/entry/doc.go
+++ b/rockbarrow/entry/doc.go
@@ -1,14 +1,13 @@
 // SPDX-License-Identifier: MIT
 
-// Package entry is the job of an entry instance: it takes a request, finds its
-// service and an endpoint, and answers.
+// Package entry implements the request path of an entry instance: it routes a
+// client's request to a service, sends it to an endpoint and forwards the response.
 //
-// An [Entry] reads the configuration and the list of endpoints through atomic
-// pointers, so that a request takes no lock. A turn of a program is reserved on
-// the stores before an endpoint hears of it and settled there before its answer
-// ends; between the two, only this process knows of it, and a request that may
-// have run is never sent again.
+// An [Entry] reads the routing table and the endpoint list through atomic pointers,
+// so requests take no lock for them. The tokens of a turn are reserved on the stores
+// before an endpoint gets the request and settled there before its response ends. A
+// request that may have been executed is never sent again unless its route allows it.
 //
-// The wire is not here: requests come in as [Request], go out through a
-// [Sender], and are answered through an [ResponseWriter].
+// The package is independent of the wire protocol: requests arrive as [Request], are
+// sent through a [Sender] and answered through a [ResponseWriter].
 package entry
--- a/rockbarrow/entry/domain_health.go
+++ b/rockbarrow/entry/domain_health.go
@@ -12,20 +12,20 @@
 )
 
 const (
-	// suspectFor is how long a failure domain is avoided after an endpoint there
-	// did not answer on the network; then one request tries again.
+	// suspicionTime is how long a failure domain is avoided after an endpoint there gave no
+	// response.
 	suspicionTime = 1500 * time.Millisecond
-	// domainTick is how often the reach of stores and control is looked at.
+	// reachabilityInterval is how often the reachability of stores and control is checked.
 	reachabilityInterval = 100 * time.Millisecond
 )
 
-// domains are the failure domains that are likely to be cut off from here. Their
-// endpoints get requests only if no others have room. The zero value is ready.
+// domainHealth tracks the failure domains that are probably unreachable. Their endpoints get
+// requests only if no others have capacity. The zero value is ready to use.
 type domainHealth struct {
 	mu sync.Mutex
-	// until is when a suspicion from endpoints ends.
+	// suspectedUntil is when the suspicion from unresponsive endpoints ends.
 	suspectedUntil map[string]time.Time
-	// cut are the domains whose stores and control instances are out of reach.
+	// unreachable are the domains whose stores and control instances are unreachable.
 	unreachable []string
 }
 
@@ -44,23 +44,23 @@
 	delete(d.suspectedUntil, domain)
 }
 
-// set takes the domains that are cut off, and reports whether they changed.
-func (d *domainHealth) setUnreachable(cut []string) bool {
+// setUnreachable sets the unreachable domains and reports whether they changed.
+func (d *domainHealth) setUnreachable(domains []string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	changed := !slices.Equal(d.unreachable, cut)
-	d.unreachable = cut
+	changed := !slices.Equal(d.unreachable, domains)
+	d.unreachable = domains
 	return changed
 }
 
-// isCut reports whether a domain's stores and control instances are out of reach.
+// isUnreachable reports whether a domain's stores and control instances are unreachable.
 func (d *domainHealth) isUnreachable(domain string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return slices.Contains(d.unreachable, domain)
 }
 
-// avoid returns the domains to avoid now.
+// avoided returns the unreachable and suspected domains.
 func (d *domainHealth) avoided(now time.Time) []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -78,7 +78,7 @@
 	return out
 }
 
-// watchDomains looks at the reach of other instances until ctx ends.
+// watchReachability checks the reachability of other instances until ctx ends.
 func (e *Entry) watchReachability(ctx context.Context) {
 	t := time.NewTicker(reachabilityInterval)
 	defer t.Stop()
@@ -94,8 +94,8 @@
 	}
 }
 
-// updateReach takes a domain for cut off if neither a store nor a control instance
-// there is reached.
+// updateReachability updates the unreachable domains: those without any reachable store or
+// control instance.
 func (e *Entry) updateReachability() {
 	if e.Stores.Reachable() {
 		e.storesLostSince.Store(0)
@@ -109,11 +109,11 @@
 	}
 }
 
-// logReady writes a line when the instance begins or ceases to be ready.
+// logReady logs changes of readiness.
 func (e *Entry) logReady(before bool) (now bool) {
-	now, why := e.Ready()
+	now, reason := e.Ready()
 	if now != before {
-		e.Log.WithFields(logrus.Fields{"ready": now, "reason": why}).Info("readiness has changed")
+		e.Log.WithFields(logrus.Fields{"ready": now, "reason": reason}).Info("readiness has changed")
 	}
 	return now
 }
--- a/rockbarrow/entry/draining.go
+++ b/rockbarrow/entry/draining.go
@@ -11,67 +11,65 @@
 	"rockbarrow.dev/schema/fleetpb"
 )
 
-// returnAfter is how long an endpoint that was seen leaving must stand in the list as one that takes requests
-// before it gets any, unless it is another life. Two control instances may read the list one after the other, and the
-// later reading may be the older one by the time that a reading takes, 0.9 s.
+// readmitDelay is how long an endpoint that was draining must be listed as ready before it gets requests, unless it is a
+// new incarnation. Lists may arrive out of order when control instances read them at about the same time.
 const readmitDelay = 3 * time.Second
 
-// departures remembers the endpoints that were seen leaving, so that an older reading of the list brings none of
-// them back. An endpoint may start again under the id that it had: it counts as another one then, of which nothing
-// is known. The zero value is ready.
+// drainTracker remembers draining endpoints, so that an older list does not bring them back. A new incarnation under the
+// same id counts as a different endpoint. The zero value is ready to use.
 type drainTracker struct {
 	byID map[string]*drainRecord
 }
 
-// departure is an endpoint that was seen leaving.
+// drainRecord is an endpoint that was listed as draining.
 type drainRecord struct {
-	// life is the one that was leaving.
+	// incarnation is the one that was draining.
 	incarnation incarnation.ID
-	// ready is since when it stands in the list as one that takes requests, zero if it does not.
+	// readySince is when the endpoint was first listed as ready again, zero if it is not.
 	readySince time.Time
 }
 
-// waiting returns the ids of the endpoints that were seen leaving and stand in the list still.
+// ids returns the ids of the tracked endpoints in order.
 func (d *drainTracker) ids() []string { return slices.Sorted(maps.Keys(d.byID)) }
 
-// take takes the endpoints of a list that have changed, with those that are waiting, and those that the list lacks now. It
-// returns the ones of present that may get new requests, and those that are seen leaving for the first
-// time. Lives are the present ones, which a list that lags does not tell. If it has to be called
-// again although the list stays the same, wait says when.
-func (d *drainTracker) update(now time.Time, present, absent []*fleetpb.Endpoint, lives map[string]incarnation.ID) (usable, leaving []*fleetpb.Endpoint, wait time.Duration) {
+// update processes the changed endpoints of a list together with the tracked ones (present), and those that were removed
+// from it (absent). It returns the present endpoints that may get requests, and those that are draining for the first
+// time. The current incarnations are passed separately because a stale list may contain ended ones. A non-zero wait is
+// the time after which update must be called again even if the list does not change.
+func (d *drainTracker) update(now time.Time, present, absent []*fleetpb.Endpoint, incarnations map[string]incarnation.ID) (usable, draining []*fleetpb.Endpoint, wait time.Duration) {
 	if d.byID == nil {
 		d.byID = map[string]*drainRecord{}
 	}
 	for _, p := range present {
-		left := d.byID[p.GetId()]
+		record := d.byID[p.GetId()]
 		switch {
-		case left == nil && p.GetDraining():
-			d.byID[p.GetId()] = &drainRecord{incarnation: lives[p.GetId()]}
-			leaving = append(leaving, p)
-		case left == nil:
+		case record == nil && p.GetDraining():
+			d.byID[p.GetId()] = &drainRecord{incarnation: incarnations[p.GetId()]}
+			draining = append(draining, p)
+		case record == nil:
 			usable = append(usable, p)
 		case p.GetDraining():
-			*left = drainRecord{incarnation: lives[p.GetId()]}
+			*record = drainRecord{incarnation: incarnations[p.GetId()]}
 		default:
-			rest := left.remainingDelay(now, lives[p.GetId()])
-			if rest <= 0 {
+			remaining := record.remainingDelay(now, incarnations[p.GetId()])
+			if remaining <= 0 {
 				delete(d.byID, p.GetId())
 				usable = append(usable, p)
-			} else if wait == 0 || rest < wait {
-				wait = rest
+			} else if wait == 0 || remaining < wait {
+				wait = remaining
 			}
 		}
 	}
 	for _, p := range absent {
-		// Only a new start brings it back.
+		// Only a new start can list the endpoint again.
 		delete(d.byID, p.GetId())
 	}
-	return usable, leaving, wait
+	return usable, draining, wait
 }
 
-// remaining returns how much longer an endpoint that stands in the list as ready is not used.
-func (d *drainRecord) remainingDelay(now time.Time, present incarnation.ID) time.Duration {
-	if !d.incarnation.Matches(present) {
+// remainingDelay returns how much longer an endpoint that is listed as ready gets no requests.
+func (d *drainRecord) remainingDelay(now time.Time, current incarnation.ID) time.Duration {
+	if !d.incarnation.Matches(current) {
 		return 0
 	}
 	if d.readySince.IsZero() {
--- a/rockbarrow/entry/entry.go
+++ b/rockbarrow/entry/entry.go
@@ -22,83 +22,84 @@
 )
 
 const (
-	// soon is when a client is told to come back after a refusal that passes by
-	// itself within milliseconds, such as a start; later, after one that lasts.
+	// shortRetryAfter is sent with rejections whose cause passes within milliseconds, such
+	// as a start, and longRetryAfter with others.
 	shortRetryAfter = 150 * time.Millisecond
 	longRetryAfter  = 400 * time.Millisecond
-	// balancerTakes is how long after a cut was noticed the balancer, which asks twice
-	// a second apart, has taken the instances out that are cut off: 2 s, and half a
-	// second for the instances that notice last.
+	// balancerRemovalTime is how long the balancer takes to remove partitioned instances:
+	// two probes a second apart, and a margin for instances that detect it later.
 	balancerRemovalTime = 2500 * time.Millisecond
-	// leastRetryElsewhere is when to come back after that: on a new connection, which
-	// leads elsewhere.
+	// minRetryElsewhere is the retry delay once the balancer sends new connections to
+	// other instances.
 	minRetryElsewhere = 250 * time.Millisecond
 )
 
 // Entry is one entry instance. Set the exported fields before Run.
 type Entry struct {
-	// Domain is the own failure domain.
+	// Domain is this instance's failure domain.
 	Domain string
 	Watch  *watch.Client
 	Stores *stores.Client
 	Sender Sender
-	// Decode reads whole configurations, FetchTable gets what changed. Without FetchTable
-	// each configuration has its document.
+	// Decode parses whole configurations and FetchTable gets incremental updates. Without
+	// FetchTable, every configuration must contain its document.
 	Decode     DecodeFunc
 	FetchTable FetchTableFunc
 	Log        *logrus.Entry
 	Metrics    tally.Scope
-	// Lease says whether the keys of a table may be trusted, and Quota counts customers' requests.
+	// Lease limits how long keys are accepted without confirmation by control. Quota limits
+	// the request rates of customers.
 	Lease *lease.Lease
 	Quota *quota.Limiter
 
 	table atomic.Pointer[routing.Table]
 	fleet atomic.Pointer[fleet]
-	// departures is used by the goroutine of lists only.
-	draining drainTracker
-	// lives is used by the same goroutine only.
+	// draining, incarnations, incarnationsExpired and readmitAt are used by runListUpdates
+	// only.
+	draining            drainTracker
 	incarnations        incarnation.Tracker
 	incarnationsExpired time.Time
-	// returns is when endpoints that left may count again under the list in force, zero if none
-	// can.
+	// readmitAt is when draining endpoints of the current list may get requests again, zero
+	// if none is waiting.
 	readmitAt time.Time
-	// tableUpdates and listUpdates each have a goroutine of their own, so that neither kind of
-	// news waits for the other.
+	// tableUpdates and listUpdates are handled by separate goroutines, so that a slow
+	// configuration does not delay a list.
 	tableUpdates, listUpdates *signal
 	stopped                   atomic.Bool
 	domains                   domainHealth
 	sessions                  sessionEndpoints
 	limiters                  serviceLimiters
 	customers, outcomes       taggedScopes
-	// lostSince is when most stores went out of reach, in nanoseconds since 1970,
-	// zero while they are reached.
+	// storesLostSince is when most stores became unreachable, in nanoseconds since 1970, zero
+	// while they are reachable.
 	storesLostSince atomic.Int64
 	inFlight        atomic.Int64
 }
 
-// Init makes the entry ready for Wake; call it before the watch client runs.
+// Init prepares the entry for NotifyChanged. It must be called before the watch client runs.
 func (e *Entry) Init() { e.tableUpdates, e.listUpdates = newSignal(), newSignal() }
 
-// Wake takes over what is new; package watch calls it.
+// NotifyChanged schedules the processing of a new configuration or list. Package watch calls it.
 func (e *Entry) NotifyChanged() {
 	e.tableUpdates.notify()
 	e.listUpdates.notify()
 }
 
-// Run takes over new configurations and lists until ctx ends.
+// Run processes new configurations and lists until ctx ends.
 func (e *Entry) Run(ctx context.Context) {
 	go e.watchReachability(ctx)
 	go e.runTableUpdates(ctx)
 	e.runListUpdates(ctx)
 }
 
-// Ready reports whether the balancer should send connections here, or why not.
+// Ready reports whether the balancer should send connections here. If not, the string is the
+// reason.
 func (e *Entry) Ready() (bool, string) {
-	if serves, why := e.CanServe(); !serves {
-		return false, why
+	if ok, reason := e.CanServe(); !ok {
+		return false, reason
 	}
 	if e.Watch.State().GetView().GetEpoch() == 0 {
-		return false, "no stores are chosen yet"
+		return false, "no store view is known"
 	}
 	if e.isDomainMostlyLost() {
 		return false, "most entry instances of this failure domain are lost"
@@ -106,31 +107,31 @@
 	return true, ""
 }
 
-// Serves reports whether this instance can serve requests, or why not.
+// CanServe reports whether this instance can serve requests. If not, the string is the reason.
 func (e *Entry) CanServe() (bool, string) {
 	switch {
 	case e.stopped.Load():
 		return false, "stopping"
 	case e.table.Load() == nil:
-		return false, "no configuration is known"
+		return false, "no configuration is loaded"
 	case e.fleet.Load() == nil:
-		return false, "no list of endpoints is known"
+		return false, "no endpoint list is loaded"
 	case e.isPartitioned():
 		return false, "cut off from most stores and control instances"
 	}
 	return true, ""
 }
 
-// isDomainMostlyLost reports whether most entry instances of the own failure domain are
-// lost while another domain has most of its own. The balancer goes on to use all
-// instances of a domain, the lost ones too, while fewer than half of them are
-// ready, but none of them once none is. Instances that are heard and do not serve yet or
-// any more are not lost: they say so to the balancer themselves.
+// isDomainMostlyLost reports whether most entry instances of this failure domain are lost
+// while another domain has most of its own. The balancer ignores readiness in a domain where
+// only a minority is ready, so the remaining instances report not ready too: it stops using a
+// domain without any ready instance. Instances that send heartbeats without serving are not
+// lost; their own readiness covers them.
 func (e *Entry) isDomainMostlyLost() bool {
 	own, elsewhere := false, false
 	for _, d := range e.Watch.EntryDomains() {
 		if d.GetFailureDomain() == e.Domain {
-			// Control of version 0.2.0 tells only who serves.
+			// Control instances of version 0.2.0 send only the serving count.
 			own = 2*max(d.GetHeard(), d.GetServing()) < d.GetKnown()
 		} else {
 			elsewhere = elsewhere || d.GetServing() > 0 && 2*d.GetServing() >= d.GetKnown()
@@ -139,13 +140,13 @@
 	return own && elsewhere
 }
 
-// isCutOff reports whether this instance is cut off from the rest. It then serves
-// what it can, but new connections are better off elsewhere. When most stores are
-// lost for everyone, no instance is better than another, and all stay ready.
+// isPartitioned reports whether this instance reaches neither most stores nor control. It
+// still serves what it can, but new connections should go to other instances. If only the
+// stores are lost, the other instances are no better off, and all stay ready.
 func (e *Entry) isPartitioned() bool { return !e.Stores.Reachable() && e.Watch.CutOff() }
 
-// retryElsewhere is when a client that is refused for want of stores had better come
-// back.
+// retryElsewhere returns the retry delay for a client rejected because stores are unreachable:
+// by then the balancer has removed this instance.
 func (e *Entry) retryElsewhere(now time.Time) time.Duration {
 	since := e.storesLostSince.Load()
 	if since == 0 {
@@ -154,13 +155,13 @@
 	return max(minRetryElsewhere, balancerRemovalTime-now.Sub(time.Unix(0, since)))
 }
 
-// Stop makes the entry say that it is not ready. It goes on to serve.
+// SetStopping makes Ready and CanServe return false. Requests are still served.
 func (e *Entry) SetStopping() { e.stopped.Store(true) }
 
-// InFlight returns the number of requests under way.
+// InFlight returns the number of requests being served.
 func (e *Entry) InFlight() int64 { return e.inFlight.Load() }
 
-// Limits returns what clients may do, or nil before a configuration is known.
+// Limits returns the limits for clients, or nil before a configuration is loaded.
 func (e *Entry) Limits() *fleetpb.Limits {
 	t := e.table.Load()
 	if t == nil {
@@ -169,8 +170,8 @@
 	return t.Limits()
 }
 
-// Serve answers a request.
-func (e *Entry) Serve(ctx context.Context, req *Request, out ResponseWriter) Outcome {
+// Serve handles a request and writes its response to w.
+func (e *Entry) Serve(ctx context.Context, req *Request, w ResponseWriter) Outcome {
 	e.inFlight.Add(1)
 	defer e.inFlight.Add(-1)
 	e.awaitInitialized(ctx)
@@ -182,7 +183,7 @@
 	if !ok {
 		return e.finish(&exchange{entry: e, request: req, table: t}, Rejected{Status: http.StatusNotFound, Reason: "no route"})
 	}
-	x := &exchange{entry: e, request: req, table: t, route: route, writer: out}
+	x := &exchange{entry: e, request: req, table: t, route: route, writer: w}
 	x.service = t.Service(routing.PickService(route, x.splitKey()))
 	x.deadline = req.Arrived.Add(time.Duration(route.GetTimeoutMs()) * time.Millisecond)
 	if req.ClientTimeout > 0 && req.Arrived.Add(req.ClientTimeout).Before(x.deadline) {
@@ -194,7 +195,7 @@
 	if o := x.authenticate(); o != nil {
 		return e.finish(x, o)
 	}
-	if o := x.checkResumption(); o != nil {
+	if o := x.prepareResumption(); o != nil {
 		return e.finish(x, o)
 	}
 	if o := x.chargeQuota(ctx); o != nil {
@@ -204,21 +205,21 @@
 	return e.finish(x, x.serve(ctx))
 }
 
-// learnWithin is how long a request waits for an instance that has just started
-// to learn what it serves: some 100 ms, and up to 700 ms after all instances have
-// lost power at once. learnTick is how often it looks.
 const (
+	// initTimeout is how long a request waits for an instance that has just started to load
+	// its configuration and endpoint list.
 	initTimeout      = 900 * time.Millisecond
 	initPollInterval = 20 * time.Millisecond
 )
 
-// learned reports whether a configuration and a list are in force, and whether its keys may be trusted if it has any.
+// isInitialized reports whether a configuration and a list are loaded, and its keys, if any,
+// were confirmed.
 func (e *Entry) isInitialized() bool {
 	t := e.table.Load()
 	return t != nil && e.fleet.Load() != nil && !(t.CustomerCount() > 0 && e.Lease.Unconfirmed())
 }
 
-// awaitLearned waits a little for the first configuration and list, and for the first confirmation of keys.
+// awaitInitialized waits until isInitialized or initTimeout has passed.
 func (e *Entry) awaitInitialized(ctx context.Context) {
 	for end := time.Now().Add(initTimeout); !e.isInitialized(); {
 		if !wait.For(ctx, initPollInterval) || time.Now().After(end) {
@@ -227,7 +228,7 @@
 	}
 }
 
-// ended writes the one log line of a request and counts it.
+// finish logs a request and updates its metrics.
 func (e *Entry) finish(x *exchange, o Outcome) Outcome {
 	r := x.request
 	took := time.Since(r.Arrived)
@@ -267,6 +268,5 @@
 	}
 }
 
-// latencyBuckets reach from a round trip between instances to the longest
-// timeouts, each a half more than the one before.
+// latencyBuckets range from a round trip between instances to the longest timeouts.
 var latencyBuckets = tally.MustMakeExponentialDurationBuckets(time.Millisecond, 1.6, 20)
--- a/rockbarrow/entry/event_scanner.go
+++ b/rockbarrow/entry/event_scanner.go
@@ -7,35 +7,35 @@
 	"strconv"
 )
 
-// scanner reads server-sent events as their bytes pass by, and gives them out whole.
-// An answer may come from several endpoints one after another: what an earlier one has
-// given is not given again. The zero value is ready.
+// eventScanner splits a stream of server-sent events and returns complete events only. A
+// stream may come from several endpoints in succession; events that an earlier one has sent
+// are dropped. The zero value is ready to use.
 type eventScanner struct {
-	// output is the data of all events, each with a line feed behind it.
+	// output is the data of all events, each followed by a line feed.
 	output []byte
-	// count is the number of whole events.
+	// count is the number of complete events.
 	count int
-	// last is the id of the last event that the client has, or "".
+	// lastID is the id of the last event that was passed to the client, or "".
 	lastID string
 
-	// ready are the bytes of whole events that were not taken yet; block are those of
-	// the event under way.
+	// complete holds the bytes of complete events that were not taken yet, partial those of
+	// the current event.
 	complete, partial []byte
 	line              []byte
-	// id and data belong to the event under way; hasData is true if it has data.
+	// id and data are those of the current event. hasData is true if it has a data field.
 	id      string
 	data    []byte
 	hasData bool
 }
 
-// begin is called before the bytes of each endpoint. The event that the one before
-// stopped in is forgotten.
+// startSource must be called before the bytes of each endpoint. It drops the incomplete event of
+// the previous one.
 func (s *eventScanner) startSource() {
 	s.partial, s.line, s.data = s.partial[:0], s.line[:0], s.data[:0]
 	s.id, s.hasData = "", false
 }
 
-// scan takes the next bytes.
+// scan processes the next bytes of the stream.
 func (s *eventScanner) scan(b []byte) {
 	for {
 		i := bytes.IndexByte(b, '\n')
@@ -52,8 +52,8 @@
 	}
 }
 
-// take returns the bytes of the events that have become whole since the last call.
-// They are valid until the next scan.
+// takeComplete returns the bytes of the events completed since the last call. They are valid
+// until the next scan.
 func (s *eventScanner) takeComplete() []byte {
 	out := s.complete
 	s.complete = s.complete[:0]
@@ -93,18 +93,17 @@
 	s.id, s.hasData = "", false
 }
 
-// given reports whether an event was given before: ids of events rise.
-func alreadyPassed(id, last string) bool {
+// alreadyPassed reports whether the event was passed on before. Event ids are increasing numbers.
+func alreadyPassed(id, lastID string) bool {
 	n, err := strconv.ParseUint(id, 10, 63)
 	if err != nil {
 		return false
 	}
-	m, err := strconv.ParseUint(last, 10, 63)
+	m, err := strconv.ParseUint(lastID, 10, 63)
 	return err == nil && n <= m
 }
 
-// whole reports whether the bytes end between two events, of which the client has one
-// at least.
+// isComplete reports whether the stream has at least one event and does not end inside one.
 func (s *eventScanner) isComplete() bool {
 	return (s.count > 0 || s.lastID != "") && len(s.partial) == 0
 }
--- a/rockbarrow/entry/exchange.go
+++ b/rockbarrow/entry/exchange.go
@@ -18,59 +18,61 @@
 )
 
 const (
-	// maxOffers bounds the endpoints that one request is offered to, whether they
-	// run it or not. Where all are full, more offers only add load.
+	// maxDispatches bounds the endpoints that one request is sent to, whether or not they
+	// execute it. If all are at capacity, more tries only add load.
 	maxDispatches = 5
-	// hungAfter is how long a client must have waited for the first byte before its
-	// leaving is held against the endpoint: more than the longest plain calls take.
+	// hangTimeout is how long an endpoint may take to respond before a client's disconnect
+	// counts as the endpoint's failure. It exceeds the longest calls without a stream.
 	hangTimeout = 1600 * time.Millisecond
 )
 
-// exchange is one request on its way.
+// exchange is the state of one request.
 type exchange struct {
 	entry   *Entry
 	request *Request
 	table   *routing.Table
 	route   *fleetpb.Route
 	service *fleetpb.Service
-	// customer is whose request it is, or nil.
+	// customer is the authenticated customer, or nil.
 	customer *fleetpb.Customer
-	// counted is true once the request was counted against the customer's quota.
+	// charged is true once the request was charged to the customer's quota.
 	charged  bool
 	handling handling
 	writer   ResponseWriter
 	deadline time.Time
 
-	// grant is what the stores have set aside, or nil.
+	// grant is the reservation at the stores, or nil.
 	grant *stores.Grant
-	// body is what endpoints get.
+	// body is the body that endpoints get.
 	body []byte
-	// events are those of the answer, over all endpoints that had a part in it.
+	// events scans the event stream of the response, across all endpoints that produced it.
 	events eventScanner
-	// started is true once the head of an answer was passed on.
-	headSent bool
+	// streamStarted is true once the header of an event stream was forwarded.
+	streamStarted bool
 
-	// ran is true once an endpoint has or may have run it.
+	// mayHaveRun is true once an endpoint may have executed the request.
 	mayHaveRun bool
-	// offers counts the endpoints asked, runs those that may have run it and whose
-	// answer did not become the client's whole answer.
-	dispatches, executions int
-	avoid                  []incarnation.ID
-	// last is the endpoint that served the turn before.
+	// dispatches counts the endpoints that the request was sent to. failedExecutions counts
+	// those that may have executed it without completing the client's response.
+	dispatches, failedExecutions int
+	// avoid are the endpoints that failed or rejected the request.
+	avoid []incarnation.ID
+	// previous is the endpoint that served the previous turn.
 	previous incarnation.ID
-	// place is at the endpoint that was offered the request last, which is endpoint.
+	// chosen and endpoint are the endpoint that the request was sent to last.
 	chosen     *placement.Endpoint
 	endpoint   incarnation.ID
 	status     int
 	listNumber uint64
 	listAgeMS  int64
-	// own is the time spent here and on the stores, without the endpoints.
+	// ownTime is the time spent on quotas and stores, without the endpoints.
 	ownTime time.Duration
-	// waited is the time spent waiting for a place.
+	// waitTime is the time spent waiting for a concurrency slot.
 	waitTime time.Duration
 }
 
-// splitKey keeps a program's turns on one service while the weights stay.
+// splitKey returns the key that selects a service by weight, so that the turns of a program
+// stay on one service.
 func (x *exchange) splitKey() string {
 	r := x.request
 	for _, key := range []string{r.Program, r.AffinityKey} {
@@ -81,8 +83,8 @@
 	return r.ID
 }
 
-// serve takes the steps of a request: reserve, offer, pass on, settle. A step that the
-// request's way does not need does nothing.
+// serve runs the steps of a request: reserve, wait for a slot, dispatch, forward and settle.
+// Steps that its handling does not need do nothing.
 func (x *exchange) serve(ctx context.Context) Outcome {
 	if x.handling.outlivesClient() {
 		var cancel context.CancelFunc
@@ -92,13 +94,13 @@
 	if o := x.prepare(ctx); o != nil {
 		return o
 	}
-	begun := time.Now()
-	leave, o := x.acquireSlot(ctx)
-	x.waitTime = time.Since(begun)
+	start := time.Now()
+	release, o := x.acquireSlot(ctx)
+	x.waitTime = time.Since(start)
 	if o != nil {
 		return x.settle(ctx, o)
 	}
-	defer leave()
+	defer release()
 	for {
 		o, err := x.attempt(ctx)
 		if err != nil {
@@ -110,35 +112,35 @@
 	}
 }
 
-// attempt offers the request to one endpoint and passes its answer on. It returns an
-// error if the client has no whole answer yet.
+// attempt sends the request to one endpoint and forwards the response. It returns an error if
+// the client's response is not complete.
 func (x *exchange) attempt(ctx context.Context) (Outcome, error) {
-	try, cancel := x.withAttemptTimeout(ctx)
+	attemptCtx, cancel := x.withAttemptTimeout(ctx)
 	defer cancel()
-	pauses, stop := x.watchStalls(cancel)
+	stalls, stop := x.watchStalls(cancel)
 	defer stop()
-	answer, done, err := x.dispatch(ctx, try, pauses)
+	resp, done, err := x.dispatch(ctx, attemptCtx, stalls)
 	if err != nil {
 		return nil, err
 	}
-	if x.handling.streamed && answer.Status == http.StatusOK {
-		return x.forwardEvents(ctx, answer, done, pauses)
+	if x.handling.streamed && resp.Status == http.StatusOK {
+		return x.forwardEvents(ctx, resp, done, stalls)
 	}
-	return x.forwardBuffered(ctx, answer, done)
+	return x.forwardBuffered(ctx, resp, done)
 }
 
-// within bounds an attempt of a request that may run again: each of those that are left
-// gets an even part of the time, so that an endpoint or a connection that has fallen
-// silent does not take all of it. Streams show by their pauses that they stand still.
+// withAttemptTimeout divides the time left evenly among the remaining attempts of a repeatable
+// request, so that an unresponsive endpoint does not use it up. Streams have stall detection
+// instead.
 func (x *exchange) withAttemptTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
-	left := int(x.route.GetMaxAttempts()) - x.executions
+	left := int(x.route.GetMaxAttempts()) - x.failedExecutions
 	if x.handling.streamed || !x.handling.repeatable || left < 2 {
 		return context.WithCancel(ctx)
 	}
 	return context.WithTimeout(ctx, time.Until(x.deadline)/time.Duration(left))
 }
 
-// choose takes a place at an endpoint.
+// choose selects an endpoint and occupies a slot there.
 func (x *exchange) choose() (placement.Choice, bool) {
 	f := x.entry.fleet.Load()
 	x.listNumber = f.reading.List().GetNumber()
@@ -153,12 +155,12 @@
 	}, newRand())
 }
 
-// source returns a generator of its own for each choice: a choice draws twice.
+// newRand returns a generator for one choice, which is not safe for concurrent use.
 func newRand() *rand.Rand { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) }
 
-// offer sends the request to the best endpoint, which has until the end of try. The
-// place is given back by done.
-func (x *exchange) dispatch(ctx, try context.Context, pauses *stallDetector) (*Response, func(placement.Result), error) {
+// dispatch chooses an endpoint and sends it the request within attemptCtx. The returned
+// function releases the slot there and reports the result.
+func (x *exchange) dispatch(ctx, attemptCtx context.Context, stalls *stallDetector) (*Response, func(placement.Result), error) {
 	if !x.entry.hasValidKey(x, time.Now()) {
 		return nil, nil, &NotExecutedError{Endpoint: "none", Reason: "the key could not be confirmed lately", Busy: true}
 	}
@@ -166,15 +168,15 @@
 	if !ok {
 		return nil, nil, &NotExecutedError{Endpoint: "none", Reason: "no endpoint has room", Busy: true}
 	}
-	if x.charged && x.executions > 0 {
+	if x.charged && x.failedExecutions > 0 {
 		x.entry.Quota.CountRetry(time.Now(), x.customer)
 	}
 	p := choice.Endpoint()
-	pauses.setDomain(p.Domain())
+	stalls.setDomain(p.Domain())
 	x.chosen, x.endpoint = p, p.Life()
 	x.dispatches++
 	sent := time.Now()
-	answer, err := x.entry.Sender.Send(try, EndpointRequest{
+	resp, err := x.entry.Sender.Send(attemptCtx, EndpointRequest{
 		Request: x.request, Body: x.body, Endpoint: p.Config(), Incarnation: x.endpoint, Deadline: x.deadline,
 		Priority: x.endpointPriority(), MaxConnections: x.connectionLimit(),
 		Stream: x.handling.streamed, ResumeAfter: x.events.lastID,
@@ -183,10 +185,10 @@
 	done := func(r placement.Result) { p.Done(time.Now(), r) }
 	unreached := x.recordReachability(p, err)
 	if err != nil {
-		var notRun *NotExecutedError
-		// A full endpoint is not at fault; nor is one whose client left soon.
+		var notExecuted *NotExecutedError
+		// An endpoint at capacity has not failed, nor has one whose client disconnected early.
 		left := ctx.Err() != nil && time.Since(sent) < hangTimeout
-		busy := errors.As(err, &notRun) && notRun.Busy
+		busy := errors.As(err, &notExecuted) && notExecuted.Busy
 		if !busy && !left {
 			p.RecordConnectionLoss()
 		}
@@ -195,47 +197,47 @@
 		return nil, nil, err
 	}
 	x.mayHaveRun = true
-	if answer.Reconnected {
+	if resp.Reconnected {
 		p.RecordConnectionLoss()
 	}
 	p.RecordResponse(time.Now())
-	return answer, done, nil
+	return resp, done, nil
 }
 
-// tell notes what an offer says of the network to the endpoint's domain, and
-// reports whether nothing came back at all.
+// recordReachability updates the health of the endpoint's failure domain after a dispatch. It
+// reports whether the network gave no response.
 func (x *exchange) recordReachability(p *placement.Endpoint, err error) (unreached bool) {
 	if err == nil {
 		x.entry.domains.clearSuspicion(p.Domain())
 		return false
 	}
-	var notRun *NotExecutedError
+	var notExecuted *NotExecutedError
 	var lost *OutcomeUnknownError
-	if errors.As(err, &notRun) && notRun.NoResponse || errors.As(err, &lost) && lost.NoResponse {
+	if errors.As(err, &notExecuted) && notExecuted.NoResponse || errors.As(err, &lost) && lost.NoResponse {
 		x.entry.domains.suspect(p.Domain(), time.Now())
 		return true
 	}
 	return false
 }
 
-// connections is this instance's part of the connections to one endpoint.
+// connectionLimit returns this instance's share of the connections to one endpoint.
 func (x *exchange) connectionLimit() int {
 	return max(1, int(x.service.GetMaxConnections())/x.entry.Watch.EntryCount())
 }
 
-// stop says how a request ends after a failed attempt, or nil if it may be offered
+// afterFailure returns the outcome after a failed attempt, or nil if the request may be sent
 // again.
 func (x *exchange) afterFailure(ctx context.Context, err error) Outcome {
-	var notRun *NotExecutedError
-	if errors.As(err, &notRun) {
-		return x.afterNotExecuted(ctx, notRun)
+	var notExecuted *NotExecutedError
+	if errors.As(err, &notExecuted) {
+		return x.afterNotExecuted(ctx, notExecuted)
 	}
 	x.mayHaveRun = true
-	x.executions++
+	x.failedExecutions++
 	switch {
 	case ctx.Err() == nil && x.canRetry():
 		return nil
-	case x.headSent:
+	case x.streamStarted:
 		return Aborted{Reason: err.Error()}
 	case ctx.Err() != nil:
 		return Rejected{Status: http.StatusGatewayTimeout, Reason: err.Error()}
@@ -243,16 +245,16 @@
 	return Rejected{Status: http.StatusBadGateway, Reason: err.Error()}
 }
 
-// stopNotRun is stop for an offer that the endpoint certainly did not run.
+// afterNotExecuted is afterFailure for a request that the endpoint did not execute.
 func (x *exchange) afterNotExecuted(ctx context.Context, err *NotExecutedError) Outcome {
 	switch {
 	case ctx.Err() == nil && x.dispatches < maxDispatches && err.Endpoint != "none":
 		return nil
-	case x.headSent:
+	case x.streamStarted:
 		return Aborted{Reason: err.Error()}
-	case x.executions > 0 && ctx.Err() != nil:
+	case x.failedExecutions > 0 && ctx.Err() != nil:
 		return Rejected{Status: http.StatusGatewayTimeout, Reason: err.Error()}
-	case x.executions > 0:
+	case x.failedExecutions > 0:
 		return Rejected{Status: http.StatusBadGateway, Reason: err.Error()}
 	case ctx.Err() != nil:
 		return Rejected{Status: http.StatusServiceUnavailable, Reason: err.Error()}
@@ -260,8 +262,8 @@
 	return Rejected{Status: http.StatusServiceUnavailable, RetryAfter: longRetryAfter, Reason: err.Error()}
 }
 
-// canRetry reports whether a request that may have run may be offered again.
+// canRetry reports whether a request that may have been executed may be sent again.
 func (x *exchange) canRetry() bool {
-	may := x.handling.resumable || x.handling.repeatable && !x.headSent
-	return may && x.executions < int(x.route.GetMaxAttempts()) && x.dispatches < maxDispatches
+	allowed := x.handling.resumable || x.handling.repeatable && !x.streamStarted
+	return allowed && x.failedExecutions < int(x.route.GetMaxAttempts()) && x.dispatches < maxDispatches
 }
--- a/rockbarrow/entry/forward.go
+++ b/rockbarrow/entry/forward.go
@@ -11,56 +11,57 @@
 )
 
 const (
-	// wholeBody in bytes is the largest answer that is read whole before its
-	// first byte is passed on, so that a lost one can be asked for again.
+	// maxBufferedBody is the largest body in bytes that is read completely before its first
+	// byte is forwarded, so that the request can be repeated if the response is lost.
 	maxBufferedBody = 256 << 10
-	// readSize in bytes holds some events of a stream.
+	// readBufferSize is the size in bytes of reads from event streams.
 	readBufferSize = 4 << 10
 )
 
-// broken gives a place back whose answer was lost on its way, and says so.
+// responseLost releases the slot of an endpoint whose response was lost and returns the error.
 func (x *exchange) responseLost(done func(placement.Result), r placement.Result, reason string) error {
 	done(r)
 	x.avoid = append(x.avoid, x.endpoint)
 	return &OutcomeUnknownError{Endpoint: x.endpoint.EndpointID, Reason: reason}
 }
 
-// lost notes that the endpoint ended the answer midway, unless the client has left.
+// recordLost counts a response that the endpoint broke off. After a disconnect of the client it
+// does nothing.
 func (x *exchange) recordLost(ctx context.Context) {
 	if ctx.Err() == nil {
 		x.chosen.RecordConnectionLoss()
 	}
 }
 
-// passWhole hands an answer on that is not events. It returns an error if the answer
-// was lost before its first byte was passed on.
-func (x *exchange) forwardBuffered(ctx context.Context, a *Response, done func(placement.Result)) (Outcome, error) {
-	defer a.Body.Close()
-	if x.headSent {
-		// Only events can follow the head that the client has.
-		return nil, x.responseLost(done, placement.Result{}, "resumed with status "+http.StatusText(a.Status))
+// forwardBuffered forwards a response that is no event stream. It returns an error if the
+// response was lost before its first byte was forwarded.
+func (x *exchange) forwardBuffered(ctx context.Context, resp *Response, done func(placement.Result)) (Outcome, error) {
+	defer resp.Body.Close()
+	if x.streamStarted {
+		// The client has the header of an event stream.
+		return nil, x.responseLost(done, placement.Result{}, "resumed with status "+http.StatusText(resp.Status))
 	}
-	whole, err := io.ReadAll(io.LimitReader(a.Body, maxBufferedBody+1))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxBufferedBody+1))
 	if err != nil {
 		x.recordLost(ctx)
 		return nil, x.responseLost(done, placement.Result{}, err.Error())
 	}
-	failed := a.Status >= http.StatusInternalServerError
+	failed := resp.Status >= http.StatusInternalServerError
 	if failed && x.canFailOver() {
-		return nil, x.responseLost(done, placement.Result{}, http.StatusText(a.Status))
+		return nil, x.responseLost(done, placement.Result{}, http.StatusText(resp.Status))
 	}
-	x.status = a.Status
-	if len(whole) <= maxBufferedBody {
+	x.status = resp.Status
+	if len(body) <= maxBufferedBody {
 		done(placement.Result{OK: !failed})
-		x.writer.Start(a.Status, a.Header, int64(len(whole)))
-		return x.write(whole), nil
+		x.writer.Start(resp.Status, resp.Header, int64(len(body)))
+		return x.write(body), nil
 	}
-	x.writer.Start(a.Status, a.Header, a.ContentLength)
-	if o := x.write(whole); o != (Completed{}) {
+	x.writer.Start(resp.Status, resp.Header, resp.ContentLength)
+	if o := x.write(body); o != (Completed{}) {
 		done(placement.Result{OK: true})
 		return o, nil
 	}
-	_, err = io.Copy(newBodyWriter(x.writer), a.Body)
+	_, err = io.Copy(newBodyWriter(x.writer), resp.Body)
 	done(placement.Result{OK: err == nil})
 	if err != nil {
 		x.recordLost(ctx)
@@ -69,27 +70,25 @@
 	return Completed{}, nil
 }
 
-// mayFailOver reports whether another endpoint may be asked after this one's own
-// failure.
+// canFailOver reports whether the request may be repeated after an error response.
 func (x *exchange) canFailOver() bool {
-	return x.handling.repeatable && x.executions+1 < int(x.route.GetMaxAttempts()) && x.dispatches < maxDispatches
+	return x.handling.repeatable && x.failedExecutions+1 < int(x.route.GetMaxAttempts()) && x.dispatches < maxDispatches
 }
 
-// passEvents hands events on as they come, each one whole: an endpoint may stop inside
-// an event, and another one then begins with the event that the client lacks. It
-// returns an error if the stream broke off.
-func (x *exchange) forwardEvents(ctx context.Context, a *Response, done func(placement.Result), p *stallDetector) (Outcome, error) {
-	defer a.Body.Close()
-	x.startEventStream(a)
+// forwardEvents forwards each event once it is complete, so that another endpoint can resume
+// the stream if this one stops inside an event. It returns an error if the stream broke off.
+func (x *exchange) forwardEvents(ctx context.Context, resp *Response, done func(placement.Result), stalls *stallDetector) (Outcome, error) {
+	defer resp.Body.Close()
+	x.startEventStream(resp)
 	buf := make([]byte, readBufferSize)
 	for {
-		n, err := a.Body.Read(buf)
+		n, err := resp.Body.Read(buf)
 		x.events.scan(buf[:n])
-		if whole := x.events.takeComplete(); len(whole) > 0 {
-			p.recordProgress()
-			if failed := x.writer.Write(whole); failed != nil {
+		if complete := x.events.takeComplete(); len(complete) > 0 {
+			stalls.recordProgress()
+			if writeErr := x.writer.Write(complete); writeErr != nil {
 				done(placement.Result{OK: true})
-				return Aborted{Reason: "the client left: " + failed.Error()}, nil
+				return Aborted{Reason: "the client left: " + writeErr.Error()}, nil
 			}
 		}
 		switch {
@@ -105,12 +104,11 @@
 	}
 }
 
-// startEvents passes the head on. Of a stream that is resumed, the client keeps the
-// head of the first endpoint.
-func (x *exchange) startEventStream(a *Response) {
-	if !x.headSent {
-		x.headSent, x.status = true, a.Status
-		x.writer.Start(a.Status, a.Header, -1)
+// startEventStream forwards the header, unless an earlier endpoint's header was forwarded.
+func (x *exchange) startEventStream(resp *Response) {
+	if !x.streamStarted {
+		x.streamStarted, x.status = true, resp.Status
+		x.writer.Start(resp.Status, resp.Header, -1)
 	}
 	x.events.startSource()
 }
@@ -122,12 +120,12 @@
 	return Completed{}
 }
 
-// outWriter makes an Out a writer.
+// bodyWriter implements [io.Writer] on a ResponseWriter.
 type bodyWriter struct{ writer ResponseWriter }
 
-func newBodyWriter(out ResponseWriter) io.Writer { return bodyWriter{writer: out} }
+func newBodyWriter(w ResponseWriter) io.Writer { return bodyWriter{writer: w} }
 
-// Write passes a part on.
+// Write implements io.Writer.
 func (w bodyWriter) Write(b []byte) (int, error) {
 	if err := w.writer.Write(b); err != nil {
 		return 0, err
--- a/rockbarrow/entry/loads.go
+++ b/rockbarrow/entry/loads.go
@@ -11,7 +11,8 @@
 	"rockbarrow.dev/schema/fleetpb"
 )
 
-// Uses returns the own calls at endpoints, for other entry instances.
+// EndpointUses returns this instance's calls at endpoints, to report them to the other entry
+// instances.
 func (e *Entry) EndpointUses() []watch.EndpointUse {
 	f := e.fleet.Load()
 	if f == nil {
@@ -28,8 +29,8 @@
 	return out
 }
 
-// ReceiveLoads takes what other entry instances know of endpoints. It counts only if
-// it speaks of the list that is in force here.
+// ReceiveLoads applies the load reports of other entry instances. Reports are indexed by
+// position in the endpoint list, so they are ignored unless they are for the current list.
 func (e *Entry) ReceiveLoads(l *fleetpb.EndpointLoads) {
 	f := e.fleet.Load()
 	if f == nil || f.reading.Version().Number() != l.GetListNumber() {
@@ -43,7 +44,7 @@
 		}
 		p := list[index]
 		known := f.Endpoint(p.GetId())
-		// A list that lags, and what is told with it, may speak of a life that has ended.
+		// A stale list and its loads may be of an ended incarnation.
 		if known != nil && known.Life().Matches(incarnation.ID{EndpointID: p.GetId(), StartMS: p.GetBornMs()}) {
 			loads = append(loads, placement.RemoteLoad{Endpoint: known, Running: l.GetRunning()[i], FailingPercent: l.GetFailing()[i]})
 		}
@@ -61,14 +62,14 @@
 		complete = complete && len(l.GetRunning()) == len(list)
 	}
 	if !complete {
-		e.Log.WithField("list", l.GetListNumber()).Warn("loads of another list were sent")
+		e.Log.WithField("list", l.GetListNumber()).Warn("ignored load reports that do not match the endpoint list")
 		return
 	}
 	f.SetRemoteLoads(time.Now(), loads)
 }
 
-// CustomerUses returns how many requests of each customer were let in, as package watch asks for them: within
-// the window of quotas if the control instance knows of none.
+// CustomerUses returns the admitted requests of each customer that are not yet reported to a
+// control instance. If whole is true, it returns those of the whole quota window.
 func (e *Entry) CustomerUses(control string, whole bool) []watch.CustomerUse {
 	uses := e.Quota.Admitted(control)
 	if whole {
@@ -81,7 +82,7 @@
 	return out
 }
 
-// ReceiveCustomers takes how many requests of each customer were let in at all entry instances.
+// ReceiveCustomers applies the admitted requests of each customer at all entry instances.
 func (e *Entry) ReceiveCustomers(counts []*fleetpb.CustomerCount, asked time.Time) {
 	e.Quota.SetCounts(asked, counts)
 }
--- a/rockbarrow/entry/scopes.go
+++ b/rockbarrow/entry/scopes.go
@@ -9,15 +9,16 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// mostScopes bounds the values of one tag that have metrics of their own; all others share one.
+// maxScopes bounds the number of tag values with metrics of their own. All others share one scope.
 const maxScopes = 256
 
-// taggedScopes holds the metrics of each value of one tag, which cost more to find by the tag. The zero value is ready.
+// taggedScopes caches the metrics scope of each value of one tag. The zero value is ready to use.
 type taggedScopes struct {
 	scopes sync.Map // of tally.Scope by value
 	count  atomic.Int64
 }
 
+// get returns the scope for a value of the tag.
 func (t *taggedScopes) get(scope tally.Scope, tag, value string) tally.Scope {
 	if s, ok := t.scopes.Load(value); ok {
 		return s.(tally.Scope)
--- a/rockbarrow/entry/sessions.go
+++ b/rockbarrow/entry/sessions.go
@@ -8,47 +8,47 @@
 	"rockbarrow.dev/rockbarrow/incarnation"
 )
 
-// maxLines bounds each of the two generations of lines that are remembered: a few times
-// the programs under way at one instance, at some 100 bytes each.
+// maxSessions bounds each of the two generations of remembered sessions. An entry takes
+// some 100 bytes.
 const maxSessions = 8192
 
-// lines remembers which endpoint served each line of turns last, for programs whose
-// history is not kept here: its endpoint still holds the prompt. The zero value is ready.
+// sessionEndpoints remembers which endpoint served each session last, for programs whose
+// history is not stored here: that endpoint has the prompt cached. The zero value is ready
+// to use.
 type sessionEndpoints struct {
 	mu sync.Mutex
-	// young takes what is new; once it is full it becomes old, and what was old is
-	// forgotten.
+	// recent gets new entries. Once full, it replaces older.
 	recent, older map[sessionKey]incarnation.ID
 }
 
-// line is a line of turns of a program; an empty name stands for the whole program.
+// sessionKey identifies a session of a program. An empty session stands for the whole program.
 type sessionKey struct{ program, session string }
 
-// add notes where a turn was served.
-func (l *sessionEndpoints) record(program, name string, endpoint incarnation.ID) {
+// record notes which endpoint served a turn.
+func (s *sessionEndpoints) record(program, session string, endpoint incarnation.ID) {
 	if program == "" {
 		return
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.recent == nil || len(l.recent) >= maxSessions {
-		l.recent, l.older = map[sessionKey]incarnation.ID{}, l.recent
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.recent == nil || len(s.recent) >= maxSessions {
+		s.recent, s.older = map[sessionKey]incarnation.ID{}, s.recent
 	}
-	l.recent[sessionKey{program, name}] = endpoint
-	l.recent[sessionKey{program, ""}] = endpoint
+	s.recent[sessionKey{program, session}] = endpoint
+	s.recent[sessionKey{program, ""}] = endpoint
 }
 
-// find returns the endpoint that served a line last; for a new line that of its program,
-// whose prompt it begins with; or else what others have told.
-func (l *sessionEndpoints) lookup(program, name string, told incarnation.ID) incarnation.ID {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for _, key := range []sessionKey{{program, name}, {program, ""}} {
-		for _, m := range []map[sessionKey]incarnation.ID{l.recent, l.older} {
-			if e := m[key]; e.EndpointID != "" {
+// lookup returns the endpoint that served a session last. For a new session it is the last
+// endpoint of the program, whose prompt the session starts with. Without either it is fallback.
+func (s *sessionEndpoints) lookup(program, session string, fallback incarnation.ID) incarnation.ID {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, key := range []sessionKey{{program, session}, {program, ""}} {
+		for _, generation := range []map[sessionKey]incarnation.ID{s.recent, s.older} {
+			if e := generation[key]; e.EndpointID != "" {
 				return e
 			}
 		}
 	}
-	return told
+	return fallback
 }
--- a/rockbarrow/entry/stalls.go
+++ b/rockbarrow/entry/stalls.go
@@ -8,92 +8,90 @@
 )
 
 const (
-	// stalledAfter is the pause inside a stream after which it is resumed elsewhere, if
-	// it may be: some ten times the pauses under load, and half of the shortest after
-	// which clients give a stream up.
+	// stallTimeout is the pause after which a resumable stream is resumed at another
+	// endpoint. It exceeds pauses under load and is below the timeouts of clients.
 	stallTimeout = time.Second
-	// cutAfter is the same for an endpoint in a failure domain that is out of reach:
-	// longer than nearly all pauses under load, so that an answer on its way still comes.
-	// Connections show it only after 2 s, and clients wait as long.
+	// unreachableStallTimeout is the pause after which an attempt at an endpoint in an
+	// unreachable failure domain is cancelled. It still lets responses in transit arrive.
 	unreachableStallTimeout = 400 * time.Millisecond
-	// pauseTick is how often an attempt is looked at; about 0.5 s pass before a domain is
-	// known to be out of reach.
+	// stallCheckInterval is how often an attempt is checked.
 	stallCheckInterval = 200 * time.Millisecond
 )
 
-// pauses ends an attempt that stands still once nothing is to be expected of it: its
-// endpoint's failure domain is out of reach, or another endpoint can go on.
+// stallDetector cancels a stalled attempt if its endpoint's failure domain is unreachable or
+// another endpoint can resume the stream.
 type stallDetector struct {
 	domains *domainHealth
-	// resumes is true if another endpoint can go on with the stream.
+	// canResume is true if another endpoint can resume the stream.
 	canResume bool
 	cancel    func()
 
 	mu    sync.Mutex
 	timer *time.Timer
-	// domain is the endpoint's, "" before one is chosen.
+	// domain is the endpoint's failure domain, "" before one is chosen.
 	domain string
-	// moved is when the attempt was last heard of, or began.
+	// lastProgress is when the last event arrived or the attempt started.
 	lastProgress time.Time
-	// flowing is true once an event came. Before it the endpoint may have a queue, which
-	// is no better elsewhere.
+	// streaming is true once an event arrived. Before that, the request may be queued at
+	// the endpoint, and would be queued elsewhere too.
 	streaming, stopped bool
 }
 
-// watchPauses begins to watch an attempt, which end ends. The returned function stops it.
-func (x *exchange) watchStalls(end func()) (*stallDetector, func()) {
-	p := &stallDetector{
-		domains: &x.entry.domains, cancel: end, lastProgress: time.Now(), streaming: x.headSent,
-		canResume: x.handling.resumable && x.executions+1 < int(x.route.GetMaxAttempts()),
+// watchStalls starts a detector for an attempt, which cancel ends. The returned function stops
+// the detector.
+func (x *exchange) watchStalls(cancel func()) (*stallDetector, func()) {
+	d := &stallDetector{
+		domains: &x.entry.domains, cancel: cancel, lastProgress: time.Now(), streaming: x.streamStarted,
+		canResume: x.handling.resumable && x.failedExecutions+1 < int(x.route.GetMaxAttempts()),
 	}
 	if !x.handling.streamed && !x.handling.repeatable {
-		// Its answer may come after the cut, and nobody may ask for it again.
-		return p, func() {}
+		// The request can't be repeated, so it waits for a response until its deadline.
+		return d, func() {}
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.timer = time.AfterFunc(stallCheckInterval, p.check)
-	return p, p.stop
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.timer = time.AfterFunc(stallCheckInterval, d.check)
+	return d, d.stop
 }
 
-func (p *stallDetector) stop() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.stopped = true
-	p.timer.Stop()
+func (d *stallDetector) stop() {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.stopped = true
+	d.timer.Stop()
 }
 
-// at notes where the endpoint is that was chosen.
-func (p *stallDetector) setDomain(domain string) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.domain = domain
+// setDomain sets the failure domain of the chosen endpoint.
+func (d *stallDetector) setDomain(domain string) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.domain = domain
 }
 
-// event notes that the stream has moved on.
-func (p *stallDetector) recordProgress() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.lastProgress, p.streaming = time.Now(), true
+// recordProgress notes that an event arrived.
+func (d *stallDetector) recordProgress() {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.lastProgress, d.streaming = time.Now(), true
 }
 
-// look ends the attempt or looks again later.
-func (p *stallDetector) check() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.stopped {
+// check cancels the attempt if it is stalled, or schedules the next check.
+func (d *stallDetector) check() {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.stopped {
 		return
 	}
-	if p.isStalled(time.Since(p.lastProgress)) {
-		p.cancel()
+	if d.isStalled(time.Since(d.lastProgress)) {
+		d.cancel()
 		return
 	}
-	p.timer.Reset(stallCheckInterval)
+	d.timer.Reset(stallCheckInterval)
 }
 
-func (p *stallDetector) isStalled(pause time.Duration) bool {
-	if p.canResume && p.streaming && pause >= stallTimeout {
+func (d *stallDetector) isStalled(pause time.Duration) bool {
+	if d.canResume && d.streaming && pause >= stallTimeout {
 		return true
 	}
-	return pause >= unreachableStallTimeout && p.domains.isUnreachable(p.domain)
+	return pause >= unreachableStallTimeout && d.domains.isUnreachable(d.domain)
 }
--- a/rockbarrow/entry/turn.go
+++ b/rockbarrow/entry/turn.go
@@ -15,16 +15,15 @@
 )
 
 const (
-	// reserveWithin bounds the reservation of a turn. It takes some 6 ms; a
-	// change of the stores' view takes up to a few hundred.
+	// reserveTimeout bounds the reservation of a turn. It leaves time for a change of the
+	// stores' view.
 	reserveTimeout = time.Second
-	// settleAtLeast bounds the settlement for a turn whose time is nearly over.
-	// Else it may take what is left: an answer whose turn is not stored has
-	// nothing to fall back on and is cut off.
+	// minSettleTimeout is the least time for settling a turn, even if its deadline is near,
+	// because the response fails if the turn is not stored.
 	minSettleTimeout = time.Second
 )
 
-// prepare makes ready what is offered: tokens are reserved, and the prompt is made.
+// prepare reserves tokens and builds the body for endpoints.
 func (x *exchange) prepare(ctx context.Context) Outcome {
 	x.body = x.request.Body
 	if !x.handling.reserved {
@@ -43,6 +42,7 @@
 	return nil
 }
 
+// turnToReserve returns the turn as the stores need it for a reservation.
 func (x *exchange) turnToReserve() stores.Turn {
 	r := x.request
 	t := stores.Turn{
@@ -50,7 +50,7 @@
 		Retention: time.Duration(x.route.GetRetainMs()) * time.Millisecond,
 	}
 	if t.Program == "" {
-		// A turn outside any program is a program of its own.
+		// A turn without a program is treated as a program with one turn.
 		t.Program = r.ID
 	}
 	if !x.handling.history {
@@ -59,7 +59,7 @@
 	return t
 }
 
-// reserve asks the stores, and tells what the client hears if they refuse.
+// reserve reserves tokens at the stores. It returns a non-nil outcome on failure.
 func (x *exchange) reserve(ctx context.Context, t stores.Turn) (*stores.Grant, Outcome) {
 	start := time.Now()
 	defer func() { x.ownTime += time.Since(start) }()
@@ -82,7 +82,7 @@
 	return nil, Rejected{Status: http.StatusServiceUnavailable, RetryAfter: longRetryAfter, Reason: err.Error()}
 }
 
-// prompt puts what was said before in front of the new input.
+// buildPrompt returns the program's history followed by the request's body.
 func (x *exchange) buildPrompt(g *stores.Grant) []byte {
 	size := len(x.request.Body)
 	for _, t := range g.History() {
@@ -97,31 +97,31 @@
 	return append(body, x.request.Body...)
 }
 
-// settle ends a reservation as the request has ended. A turn whose history is kept is
-// stored before its answer ends; what only counts tokens is settled in the background,
-// since a reservation that is not settled counts at its most.
+// settle settles the reservation according to the outcome. A turn with history is stored
+// before its response ends. Others only count tokens and are settled in the background: an
+// unsettled reservation counts in full.
 func (x *exchange) settle(ctx context.Context, o Outcome) Outcome {
 	if x.grant == nil {
 		return o
 	}
-	_, answered := o.(Completed)
+	_, completed := o.(Completed)
 	switch {
 	case !x.mayHaveRun:
 		x.entry.Stores.Release(ctx, x.grant)
-	case x.headSent && answered && x.handling.history:
+	case x.streamStarted && completed && x.handling.history:
 		return x.storeTurn(ctx)
-	case x.headSent || answered:
+	case x.streamStarted || completed:
 		x.entry.sessions.record(x.request.Program, x.request.Session, x.endpoint)
-		x.entry.Stores.SettleAsync(ctx, x.grant, x.spentTokens(answered), x.endpoint)
+		x.entry.Stores.SettleAsync(ctx, x.grant, x.spentTokens(completed), x.endpoint)
 	}
 	return o
 }
 
-// keep stores a turn that was answered whole.
+// storeTurn stores and settles a completed turn.
 func (x *exchange) storeTurn(ctx context.Context) Outcome {
 	start := time.Now()
 	defer func() { x.ownTime += time.Since(start) }()
-	// The client may leave now; the turn has run all the same.
+	// A disconnect of the client must not prevent this, because the turn was executed.
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), max(minSettleTimeout, time.Until(x.deadline)))
 	defer cancel()
 	err := x.entry.Stores.Settle(ctx, x.grant, x.spentTokens(true), &fleetpb.Turn{
@@ -134,19 +134,18 @@
 	return Completed{}
 }
 
-// spent is the count of tokens: those of the events that came, and of one more that was
-// under way where a stream broke off. An answer that is not events has none unless it
-// is a success, of which only the most is known.
-func (x *exchange) spentTokens(whole bool) uint64 {
-	most := x.request.MaxAnswerTokens
-	each := uint64(x.service.GetTokensPerEvent())
+// spentTokens returns the tokens to charge. A stream counts its received events, and one more
+// if it is incomplete. Any other response counts its maximum, or nothing if it is an error.
+func (x *exchange) spentTokens(complete bool) uint64 {
+	limit := x.request.MaxAnswerTokens
+	perEvent := uint64(x.service.GetTokensPerEvent())
 	switch {
-	case !x.headSent && x.status >= http.StatusBadRequest:
+	case !x.streamStarted && x.status >= http.StatusBadRequest:
 		return 0
-	case !x.headSent || each == 0:
-		return most
-	case whole:
-		return each * uint64(x.events.count)
+	case !x.streamStarted || perEvent == 0:
+		return limit
+	case complete:
+		return perEvent * uint64(x.events.count)
 	}
-	return min(most, each*uint64(x.events.count+1))
+	return min(limit, perEvent*uint64(x.events.count+1))
 }
--- a/rockbarrow/entry/updates.go
+++ b/rockbarrow/entry/updates.go
@@ -22,38 +22,38 @@
 	"rockbarrow.dev/schema/fleetpb"
 )
 
-// fetchPause lies between tries to fetch a table, each of which asks all control
-// instances: some tens of round trips.
+// fetchRetryInterval is the pause between tries to fetch a table. Each try asks all control
+// instances.
 const fetchRetryInterval = 50 * time.Millisecond
 
-// signal wakes the one goroutine that takes over one kind of signal.
+// signal wakes the goroutine that handles one kind of update.
 type signal struct {
 	ready chan struct{}
-	// came is when the oldest news came that were not taken over yet, in nanoseconds
-	// since 1970, zero if there are none.
+	// pendingSince is when the oldest pending update arrived, in nanoseconds since 1970, zero
+	// if none is pending.
 	pendingSince atomic.Int64
 }
 
 func newSignal() *signal { return &signal{ready: make(chan struct{}, 1)} }
 
-func (n *signal) notify() {
-	n.pendingSince.CompareAndSwap(0, time.Now().UnixNano())
+func (s *signal) notify() {
+	s.pendingSince.CompareAndSwap(0, time.Now().UnixNano())
 	select {
-	case n.ready <- struct{}{}:
+	case s.ready <- struct{}{}:
 	default:
 	}
 }
 
-// taken returns when the news came that are taken over now.
-func (n *signal) take() time.Time {
-	if at := n.pendingSince.Swap(0); at > 0 {
+// take clears the signal and returns when the oldest pending update arrived.
+func (s *signal) take() time.Time {
+	if at := s.pendingSince.Swap(0); at > 0 {
 		return time.Unix(0, at)
 	}
 	return time.Now()
 }
 
-// runTables takes over new configurations until ctx ends. It has a goroutine of its own:
-// a large configuration may take long, and no other news wait for it.
+// runTableUpdates applies new configurations until ctx ends. It runs separately from
+// runListUpdates because a large configuration may take long.
 func (e *Entry) runTableUpdates(ctx context.Context) {
 	for {
 		select {
@@ -65,26 +65,25 @@
 	}
 }
 
-// takeTable brings the newest known configuration into force. It tries again while control
-// is not reached.
-func (e *Entry) updateTable(ctx context.Context, came time.Time) {
+// updateTable applies the newest known configuration. It retries while control is unreachable.
+func (e *Entry) updateTable(ctx context.Context, notified time.Time) {
 	for tries := 0; ; tries++ {
-		err := e.applyTable(ctx, came)
+		err := e.applyTable(ctx, notified)
 		if err == nil {
 			return
 		}
 		var unreached *watch.TableFetchError
-		again := errors.As(err, &unreached)
-		if tries == 0 || !again {
-			e.Log.WithError(err).WithField("again", again).Error("a configuration is not in force")
+		retry := errors.As(err, &unreached)
+		if tries == 0 || !retry {
+			e.Log.WithError(err).WithField("again", retry).Error("could not apply a configuration")
 		}
-		if !again || !wait.For(ctx, fetchRetryInterval) {
+		if !retry || !wait.For(ctx, fetchRetryInterval) {
 			return
 		}
 	}
 }
 
-// runFleets takes over new lists of endpoints until ctx ends.
+// runListUpdates applies new endpoint lists until ctx ends.
 func (e *Entry) runListUpdates(ctx context.Context) {
 	for {
 		select {
@@ -96,28 +95,28 @@
 	}
 }
 
-// refreshTable makes the table of the newest known configuration. What came of it by the
-// time of a failure is in force.
-func (e *Entry) applyTable(ctx context.Context, came time.Time) error {
+// applyTable applies the newest known configuration. If it fails midway, the newest table made so
+// far is applied.
+func (e *Entry) applyTable(ctx context.Context, notified time.Time) error {
 	c := e.Watch.State().GetConfiguration()
 	old := e.table.Load()
 	if c.GetVersion() <= old.Version() {
 		return nil
 	}
-	begun := time.Now()
+	start := time.Now()
 	t, err := e.nextTable(ctx, old, c)
 	if t.Version() > old.Version() {
 		e.table.Store(t)
 		e.Log.WithFields(logrus.Fields{
 			"config_version": t.Version(), "routes": t.RouteCount(),
-			"since_news_ms": time.Since(came).Milliseconds(), "took_ms": time.Since(begun).Milliseconds(),
+			"since_news_ms": time.Since(notified).Milliseconds(), "took_ms": time.Since(start).Milliseconds(),
 		}).Info("a configuration is in force")
 	}
 	return err
 }
 
-// nextTable makes the table of a configuration: by what changed, or of the whole document
-// where control is of version 0.2.0 and tells nothing else.
+// nextTable makes the table of a configuration. It fetches the changes, unless the configuration
+// contains its whole document, as control instances of version 0.2.0 send it.
 func (e *Entry) nextTable(ctx context.Context, old *routing.Table, c *fleetpb.Configuration) (*routing.Table, error) {
 	if len(c.GetDocument()) == 0 && e.FetchTable != nil {
 		return e.FetchTable(ctx, old, c.GetVersion())
@@ -133,8 +132,8 @@
 	return t, nil
 }
 
-// refreshFleet brings the newest known list into force. It costs what has changed.
-func (e *Entry) updateFleet(came time.Time) {
+// updateFleet applies the newest known endpoint list. Its cost is proportional to the changes.
+func (e *Entry) updateFleet(notified time.Time) {
 	reading := e.Watch.List()
 	if reading == nil {
 		return
@@ -151,17 +150,17 @@
 		changed, _ := e.diffLists(now, nil, &fleet{reading: reading, evacuated: evacuated})
 		next = placement.NewServiceFleet(now, changed, placement.Spread, nil)
 	} else {
-		changed, gone := e.diffLists(now, old, &fleet{reading: reading, evacuated: evacuated})
-		next = old.Next(now, changed, gone)
+		changed, removed := e.diffLists(now, old, &fleet{reading: reading, evacuated: evacuated})
+		next = old.Next(now, changed, removed)
 	}
 	e.fleet.Store(&fleet{Fleet: next, reading: reading, evacuated: evacuated})
 	e.Log.WithFields(logrus.Fields{
 		"list": reading.List().GetNumber(), "age_ms": time.Since(reading.ConfirmedAt()).Milliseconds(),
-		"since_news_ms": time.Since(came).Milliseconds(), "evacuated": evacuated,
+		"since_news_ms": time.Since(notified).Milliseconds(), "evacuated": evacuated,
 	}).Info("a list of endpoints is in force")
 }
 
-// evacuatedDomains returns the failure domains whose endpoints get nothing new, by name.
+// evacuatedDomains returns the names of the evacuated failure domains.
 func evacuatedDomains(s *fleetpb.State) []string {
 	var out []string
 	for _, e := range s.GetEvacuations() {
@@ -170,9 +169,9 @@
 	return out
 }
 
-// listed returns the endpoints that have changed from one fleet, which may be nil, to the next and may get new requests,
-// and the ids of those that may not any more.
-func (e *Entry) diffLists(now time.Time, old, next *fleet) (changed []placement.ListedEndpoint, gone []string) {
+// diffLists compares a fleet, which may be nil, with the next one. It returns the changed endpoints that may get requests,
+// and the ids of those that no longer may.
+func (e *Entry) diffLists(now time.Time, old, next *fleet) (changed []placement.ListedEndpoint, removed []string) {
 	var present, absent []*fleetpb.Endpoint
 	to := next.reading.Version()
 	catalog.ForEachDifference(old.version(), to, func(before, after *fleetpb.Endpoint) {
@@ -190,52 +189,53 @@
 	present = append(present, next.evacuationChanges(old)...)
 	slices.SortFunc(present, func(a, b *fleetpb.Endpoint) int { return strings.Compare(a.GetId(), b.GetId()) })
 	present = slices.CompactFunc(present, func(a, b *fleetpb.Endpoint) bool { return a == b })
-	lives := e.currentIncarnations(now, present, to.Number())
-	usable, leaving, wait := e.draining.update(now, present, absent, lives)
+	incarnations := e.currentIncarnations(now, present, to.Number())
+	usable, draining, wait := e.draining.update(now, present, absent, incarnations)
 	e.readmitAt = time.Time{}
 	if wait > 0 {
 		e.readmitAt = now.Add(wait)
 		time.AfterFunc(wait, e.listUpdates.notify)
 	}
-	may := make(map[string]bool, len(usable))
+	allowed := make(map[string]bool, len(usable))
 	for _, p := range usable {
 		if slices.Contains(next.evacuated, p.GetFailureDomain()) {
 			continue
 		}
-		may[p.GetId()] = true
-		changed = append(changed, placement.ListedEndpoint{BornMS: lives[p.GetId()].StartMS, Config: &configpb.Endpoint{
+		allowed[p.GetId()] = true
+		changed = append(changed, placement.ListedEndpoint{BornMS: incarnations[p.GetId()].StartMS, Config: &configpb.Endpoint{
 			Name: p.GetId(), Domain: p.GetFailureDomain(), Address: p.GetAddress(),
 			Service: p.GetService(), MaxCalls: p.GetSlots(),
 		}})
 	}
 	for _, p := range present {
-		if !may[p.GetId()] {
-			gone = append(gone, p.GetId())
+		if !allowed[p.GetId()] {
+			removed = append(removed, p.GetId())
 		}
 	}
 	for _, p := range absent {
-		gone = append(gone, p.GetId())
+		removed = append(removed, p.GetId())
 	}
-	for _, p := range leaving {
+	for _, p := range draining {
 		e.Log.WithFields(logrus.Fields{"endpoint": p.GetId(), "list": to.Number()}).
-			Info("an endpoint is leaving and gets nothing new")
+			Info("an endpoint is draining and gets no new requests")
 	}
-	return changed, gone
+	return changed, removed
 }
 
-// forgetLivesEvery is how often the lives of endpoints that are gone are looked for.
+// incarnationExpiryInterval is how often the incarnations of removed endpoints are dropped.
 const incarnationExpiryInterval = 10 * time.Second
 
-// presentLives returns the lives of endpoints of a list by their ids. A list that lags brings no ended life back.
+// currentIncarnations returns the current incarnations of listed endpoints by id. A stale list does not bring ended ones
+// back.
 func (e *Entry) currentIncarnations(now time.Time, endpoints []*fleetpb.Endpoint, list uint64) map[string]incarnation.ID {
 	out := make(map[string]incarnation.ID, len(endpoints))
 	for _, p := range endpoints {
-		present, began := e.incarnations.Observe(now, incarnation.ID{EndpointID: p.GetId(), StartMS: p.GetBornMs()})
-		if began {
-			e.Log.WithFields(logrus.Fields{"endpoint": present.EndpointID, "born_ms": present.StartMS, "list": list}).
+		current, restarted := e.incarnations.Observe(now, incarnation.ID{EndpointID: p.GetId(), StartMS: p.GetBornMs()})
+		if restarted {
+			e.Log.WithFields(logrus.Fields{"endpoint": current.EndpointID, "born_ms": current.StartMS, "list": list}).
 				Info("an endpoint has started again under its id")
 		}
-		out[p.GetId()] = present
+		out[p.GetId()] = current
 	}
 	if now.Sub(e.incarnationsExpired) > incarnationExpiryInterval {
 		e.incarnationsExpired = now
@@ -244,16 +244,16 @@
 	return out
 }
 
-// fleet is what requests need of the list of endpoints.
+// fleet is the endpoint list as it is used for requests.
 type fleet struct {
-	// Fleet lacks the endpoints of evacuated failure domains.
+	// Fleet excludes the endpoints of evacuated failure domains.
 	*placement.Fleet
 	reading *watch.ListSnapshot
-	// evacuated are those failure domains, by name.
+	// evacuated are the names of those failure domains.
 	evacuated []string
 }
 
-// version returns the list, nil if f is nil.
+// version returns the version of the list, nil if f is nil.
 func (f *fleet) version() *catalog.List {
 	if f == nil {
 		return nil
@@ -261,7 +261,8 @@
 	return f.reading.Version()
 }
 
-// moved returns the listed endpoints of the failure domains that were evacuated, or taken back, since an earlier fleet.
+// evacuationChanges returns the listed endpoints of the failure domains whose evacuation began or ended since an earlier
+// fleet.
 func (f *fleet) evacuationChanges(old *fleet) []*fleetpb.Endpoint {
 	if old == nil || slices.Equal(f.evacuated, old.evacuated) {
 		return nil
