--- a/rockbarrow/entry/admission_test.go
+++ b/rockbarrow/entry/admission_test.go
@@ -16,15 +16,14 @@
 	"rockbarrow.dev/schema/fleetpb"
 )
 
-// TestBusyServicePrefersRunningPrograms: while all places are taken, a new program
-// is told at once when to come back and costs nothing, and a turn of a program under way
-// waits and goes first.
+// TestBusyServicePrefersRunningPrograms checks that without a free slot a new program is rejected at
+// once with a retry time, and a turn of a running program waits for the next slot.
 func TestBusyServicePrefersRunningPrograms(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		view := startStores(t)
-		asked, release := make(chan string, 100), make(chan struct{})
-		e := newStreamEntry(t, view, senderFunc(func(ctx context.Context, o EndpointRequest) (*Response, error) {
-			asked <- o.Request.Program
+		received, release := make(chan string, 100), make(chan struct{})
+		e := newStreamEntry(t, view, senderFunc(func(ctx context.Context, r EndpointRequest) (*Response, error) {
+			received <- r.Request.Program
 			select {
 			case <-release:
 			case <-ctx.Done():
@@ -39,31 +38,30 @@
 		e.Watch.UpdateState(&fleetpb.State{Number: 3, Configuration: &fleetpb.Configuration{Version: 2}, View: view})
 		e.refresh()
 		ended := make(chan Outcome, 100)
-		ask := func(n int, program string) {
+		serve := func(n int, program string) {
 			go func() {
 				ended <- e.Serve(t.Context(), newTurn("r", fmt.Sprint("gate", n), program, 10_000), &fakeWriter{})
 			}()
 		}
-		// Three endpoints of four places.
 		e.sessions.record("known", "", incarnation.ID{EndpointID: "x"})
-		const places = 12
-		for n := range places {
-			ask(n, "known")
-			<-asked
+		const slots = 12 // three endpoints with four each
+		for n := range slots {
+			serve(n, "known")
+			<-received
 		}
-		ask(places, "known")
+		serve(slots, "known")
 		awaitWaiting(t, e)
-		ask(1000, "new")
+		serve(1000, "new")
 		o, ok := (<-ended).(Rejected)
 		if !ok || o.Status != http.StatusServiceUnavailable || o.RetryAfter <= 0 {
-			t.Fatalf("%#v, want a refusal with a time to come back", o)
+			t.Fatalf("%#v, want a rejection with a retry time", o)
 		}
 		release <- struct{}{}
-		if got := <-asked; got != "known" {
-			t.Errorf("%s went on", got)
+		if got := <-received; got != "known" {
+			t.Errorf("program %s got the slot", got)
 		}
 		close(release)
-		for range places + 1 {
+		for range slots + 1 {
 			if o := <-ended; o != (Completed{}) {
 				t.Errorf("%#v", o)
 			}
@@ -71,13 +69,13 @@
 	})
 }
 
-// awaitWaiting returns once a request waits for a place.
+// awaitWaiting returns once a request waits for a slot.
 func awaitWaiting(t *testing.T, e *Entry) {
-	g := e.limiters.get("s")
+	l := e.limiters.get("s")
 	for t.Context().Err() == nil {
-		g.mu.Lock()
-		n := g.limiter.Waiting()
-		g.mu.Unlock()
+		l.mu.Lock()
+		n := l.limiter.Waiting()
+		l.mu.Unlock()
 		if n > 0 {
 			return
 		}
@@ -85,11 +83,11 @@
 	}
 }
 
-// TestWaitingTurnStartsWhenEndpointsAppear: also if nothing else arrives or ends.
+// TestWaitingTurnStartsWhenEndpointsAppear checks a waiting turn while no other request arrives or ends.
 func TestWaitingTurnStartsWhenEndpointsAppear(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		view := startStores(t)
-		e := newStreamEntry(t, view, &fakeSender{answers: []func(EndpointRequest) (*Response, error){respond(200, events(1, 3))}})
+		e := newStreamEntry(t, view, &fakeSender{responses: []func(EndpointRequest) (*Response, error){respond(200, events(1, 3))}})
 		e.Decode = func([]byte) (*fleetpb.Document, error) {
 			d := streamDocument()
 			d.Version, d.Services[0].Slots = 2, 1
--- a/rockbarrow/entry/customer_test.go
+++ b/rockbarrow/entry/customer_test.go
@@ -19,7 +19,7 @@
 	"rockbarrow.dev/schema/fleetpb"
 )
 
-// keyed returns a document whose routes want keys, but for the first one. Customer a holds key "ka", b holds "kb".
+// keyedDocument returns a document whose routes need keys, except the first. Customer a has key "ka", b has "kb".
 func keyedDocument(version uint64) *fleetpb.Document {
 	d := testDocument()
 	d.Version = version
@@ -33,10 +33,10 @@
 	return d
 }
 
-// newKeyed returns an entry with the keyed document, which was confirmed just now.
+// newKeyedEntry returns an entry with the keyed document, which was confirmed just now.
 func newKeyedEntry(t *testing.T, s *fakeSender) *Entry {
-	if s.answers == nil {
-		s.answers = []func(EndpointRequest) (*Response, error){respond(200, "ok")}
+	if s.responses == nil {
+		s.responses = []func(EndpointRequest) (*Response, error){respond(200, "ok")}
 	}
 	e := newEntry(t, s)
 	e.Lease = &lease.Lease{TTL: lease.TTL(5 * time.Second)}
@@ -45,7 +45,6 @@
 	return e
 }
 
-// table returns the routing table of a document.
 func newTable(t *testing.T, d *fleetpb.Document) *routing.Table {
 	t.Helper()
 	out, err := routing.New(d)
@@ -55,13 +54,13 @@
 	return out
 }
 
-// take brings a document into force.
+// applyDocument replaces the routing table.
 func (e *Entry) applyDocument(t *testing.T, d *fleetpb.Document) {
 	t.Helper()
 	e.table.Store(newTable(t, d))
 }
 
-// offerRoute returns the place of a path's route in the keyed document.
+// routeIndex returns the index of a path's route in the keyed document.
 func routeIndex(path string) int {
 	if strings.HasPrefix(path, "/repeat/") {
 		return 0
@@ -69,7 +68,7 @@
 	return 1
 }
 
-// askAs returns a request under a key, or without one for "".
+// newKeyedRequest returns a request with a key, or without one if secret is "".
 func newKeyedRequest(secret, path string) *Request {
 	r := newRequest(path)
 	if secret != "" {
@@ -85,24 +84,24 @@
 	return out.status
 }
 
-// TestAuthentication: a request's customer is told to endpoints; without a known key it does not run, and it is denied only
-// by a table that is certainly the newest.
+// TestAuthentication checks that endpoints get the customer, that requests without a known key are not executed, and that
+// they are denied only by a table that is certainly the newest.
 func TestAuthentication(t *testing.T) {
 	const old = denialFreshness + time.Millisecond
 	tests := []struct {
 		name, secret, path string
-		// age is how long ago the table was confirmed.
+		// age is the time since the table was confirmed.
 		age      time.Duration
 		status   int
 		customer string
 	}{
 		{"a known key", "ka", "/once/1", 0, 200, "a"},
-		{"another customer's", "kb", "/once/1", 0, 200, "b"},
+		{"another customer's key", "kb", "/once/1", 0, 200, "b"},
 		{"no key", "", "/once/1", 0, 401, ""},
 		{"an unknown key", "kx", "/once/1", 0, 401, ""},
-		{"an unknown key, and the table may lag", "kx", "/once/1", old, 503, ""},
-		{"no key, and the table may lag", "", "/once/1", old, 503, ""},
-		{"a known key, and the table may lag", "ka", "/once/1", old, 200, "a"},
+		{"an unknown key with a stale table", "kx", "/once/1", old, 503, ""},
+		{"no key with a stale table", "", "/once/1", old, 503, ""},
+		{"a known key with a stale table", "ka", "/once/1", old, 200, "a"},
 		{"a known key after the lease", "ka", "/once/1", 5 * time.Second, 503, ""},
 		{"no key on a public route", "", "/repeat/1", old, 200, ""},
 		{"a key on a public route", "ka", "/repeat/1", 0, 200, "a"},
@@ -114,69 +113,69 @@
 		e := newKeyedEntry(t, s)
 		e.Lease = &lease.Lease{TTL: lease.TTL(5 * time.Second)}
 		e.Lease.Confirm(2, time.Now().Add(-test.age))
-		out := &fakeWriter{}
-		o := e.Serve(t.Context(), newKeyedRequest(test.secret, test.path), out)
-		if got := statusOf(o, out); got != test.status {
+		w := &fakeWriter{}
+		o := e.Serve(t.Context(), newKeyedRequest(test.secret, test.path), w)
+		if got := statusOf(o, w); got != test.status {
 			t.Errorf("%s: status %d, want %d", test.name, got, test.status)
 		}
 		if r, ok := o.(Rejected); ok && r.Status == 503 && r.RetryAfter == 0 {
-			t.Errorf("%s: no time to come back", test.name)
+			t.Errorf("%s: no retry time", test.name)
 		}
-		if (len(s.offers) > 0) != (test.status == 200) {
-			t.Errorf("%s: %d offers", test.name, len(s.offers))
+		if (len(s.requests) > 0) != (test.status == 200) {
+			t.Errorf("%s: %d dispatches", test.name, len(s.requests))
 		}
-		for _, offer := range s.offers {
-			if want := (&exchange{customer: newTable(t, keyedDocument(2)).CustomerByName(test.customer), route: keyedDocument(2).Routes[routeIndex(test.path)]}).endpointPriority(); offer.Priority != want {
-				t.Errorf("%s: offered with priority %d, want %d", test.name, offer.Priority, want)
+		for _, r := range s.requests {
+			if want := (&exchange{customer: newTable(t, keyedDocument(2)).CustomerByName(test.customer), route: keyedDocument(2).Routes[routeIndex(test.path)]}).endpointPriority(); r.Priority != want {
+				t.Errorf("%s: sent with priority %d, want %d", test.name, r.Priority, want)
 			}
-			if offer.Customer != test.customer || !offer.StripKey {
-				t.Errorf("%s: offered as customer %q, key hidden %v", test.name, offer.Customer, offer.StripKey)
+			if r.Customer != test.customer || !r.StripKey {
+				t.Errorf("%s: sent as customer %q, key stripped %v", test.name, r.Customer, r.StripKey)
 			}
 		}
 	}
 }
 
-// TestRequestWaitsForFirstKeyConfirmation: an instance that has just started refuses nobody over a key that control is
-// about to confirm.
+// TestRequestWaitsForFirstKeyConfirmation guards against rejections by an instance that has just started and whose keys
+// control is about to confirm.
 func TestRequestWaitsForFirstKeyConfirmation(t *testing.T) {
 	s := &fakeSender{}
 	e := newKeyedEntry(t, s)
 	e.Lease = &lease.Lease{TTL: lease.TTL(5 * time.Second)}
 	time.AfterFunc(3*initPollInterval, func() { e.Lease.Confirm(2, time.Now()) })
-	out := &fakeWriter{}
-	if o := e.Serve(t.Context(), newKeyedRequest("ka", "/once/1"), out); statusOf(o, out) != 200 {
+	w := &fakeWriter{}
+	if o := e.Serve(t.Context(), newKeyedRequest("ka", "/once/1"), w); statusOf(o, w) != 200 {
 		t.Errorf("%+v", o)
 	}
 }
 
-// TestKeysArePassedOnWithoutCustomers: a deployment whose configuration has no customers passes keys on.
+// TestKeysArePassedOnWithoutCustomers checks a configuration without customers.
 func TestKeysArePassedOnWithoutCustomers(t *testing.T) {
-	s := &fakeSender{answers: []func(EndpointRequest) (*Response, error){respond(200, "ok")}}
+	s := &fakeSender{responses: []func(EndpointRequest) (*Response, error){respond(200, "ok")}}
 	e := newEntry(t, s)
 	e.Lease = &lease.Lease{TTL: time.Second}
-	out := &fakeWriter{}
-	if o := e.Serve(t.Context(), newKeyedRequest("ka", "/once/1"), out); statusOf(o, out) != 200 || s.offers[0].StripKey || s.offers[0].Customer != "" {
-		t.Errorf("%+v, offers %+v", o, s.offers)
+	w := &fakeWriter{}
+	if o := e.Serve(t.Context(), newKeyedRequest("ka", "/once/1"), w); statusOf(o, w) != 200 || s.requests[0].StripKey || s.requests[0].Customer != "" {
+		t.Errorf("%+v, requests %+v", o, s.requests)
 	}
 }
 
-// TestLeaseIsCheckedBeforeEachDispatch tells a revocation that an instance sleeps through between the look-up of a
-// key and the offer: the endpoint must not be offered the request any more.
+// TestLeaseIsCheckedBeforeEachDispatch guards against dispatching under a revoked key if the instance was suspended after
+// authentication.
 func TestLeaseIsCheckedBeforeEachDispatch(t *testing.T) {
 	s := &fakeSender{}
 	e := newKeyedEntry(t, s)
-	s.answers = []func(EndpointRequest) (*Response, error){func(o EndpointRequest) (*Response, error) {
+	s.responses = []func(EndpointRequest) (*Response, error){func(r EndpointRequest) (*Response, error) {
 		e.Lease = &lease.Lease{TTL: lease.TTL(5 * time.Second)}
 		e.Lease.Confirm(2, time.Now().Add(-5*time.Second))
-		return notExecuted(o)
+		return notExecuted(r)
 	}, respond(200, "ok")}
-	out := &fakeWriter{}
-	if o := e.Serve(t.Context(), newKeyedRequest("ka", "/once/1"), out); statusOf(o, out) != 503 || len(s.offers) != 1 {
-		t.Errorf("%+v after %d offers", o, len(s.offers))
+	w := &fakeWriter{}
+	if o := e.Serve(t.Context(), newKeyedRequest("ka", "/once/1"), w); statusOf(o, w) != 503 || len(s.requests) != 1 {
+		t.Errorf("%+v after %d dispatches", o, len(s.requests))
 	}
 }
 
-// TestRequestUsesNewerTable: a request that waited while the configuration changed goes by the new one.
+// TestRequestUsesNewerTable checks requests that are waiting while the configuration changes.
 func TestRequestUsesNewerTable(t *testing.T) {
 	moved := func(version uint64) *fleetpb.Document {
 		d := keyedDocument(version)
@@ -198,20 +197,20 @@
 	} {
 		s := &fakeSender{}
 		e := newKeyedEntry(t, s)
-		s.answers = []func(EndpointRequest) (*Response, error){func(o EndpointRequest) (*Response, error) {
+		s.responses = []func(EndpointRequest) (*Response, error){func(r EndpointRequest) (*Response, error) {
 			e.applyDocument(t, test.next)
 			e.Lease = &lease.Lease{TTL: lease.TTL(5 * time.Second)}
 			e.Lease.Confirm(3, time.Now())
-			return notExecuted(o)
+			return notExecuted(r)
 		}, respond(200, "ok")}
-		out := &fakeWriter{}
-		if o := e.Serve(t.Context(), newKeyedRequest("ka", "/once/1"), out); statusOf(o, out) != test.want {
+		w := &fakeWriter{}
+		if o := e.Serve(t.Context(), newKeyedRequest("ka", "/once/1"), w); statusOf(o, w) != test.want {
 			t.Errorf("%s: %+v, want %d", name, o, test.want)
 		}
 	}
 }
 
-// TestCustomerPriorityOutranksRoutePriority: here and at endpoints.
+// TestCustomerPriorityOutranksRoutePriority checks the priorities here and at endpoints.
 func TestCustomerPriorityOutranksRoutePriority(t *testing.T) {
 	of := func(customer, route uint32) *exchange {
 		return &exchange{customer: &fleetpb.Customer{Priority: customer}, route: &fleetpb.Route{Priority: route}}
@@ -219,48 +218,48 @@
 	order := []*exchange{of(0, 0), of(0, 1), of(0, 2), of(1, 0), of(1, 2), of(2, 0)}
 	for i, x := range order[1:] {
 		if x.priority() <= order[i].priority() || x.endpointPriority() <= order[i].endpointPriority() {
-			t.Errorf("customer %d, route %d is not behind the one before", x.customer.GetPriority(), x.route.GetPriority())
+			t.Errorf("customer %d, route %d is not less urgent than the one before", x.customer.GetPriority(), x.route.GetPriority())
 		}
 	}
 	if huge := of(1<<32-1, 1<<32-1); huge.endpointPriority() < lowestEndpointPriority || huge.priority() <= order[len(order)-1].priority() {
-		t.Errorf("a priority of %d counts as urgent: %d, %d for endpoints", uint32(1<<32-1), huge.priority(), huge.endpointPriority())
+		t.Errorf("priority %d is too urgent: %d, %d for endpoints", uint32(1<<32-1), huge.priority(), huge.endpointPriority())
 	}
 	if got := (&exchange{route: &fleetpb.Route{Priority: 2}}).endpointPriority(); got != 2 {
 		t.Errorf("without a customer: %d, want 2", got)
 	}
 }
 
-// TestQuotaRefundWhenNotExecuted: the refusal of endpoints gives the request back, and one that may have run is not.
+// TestQuotaRefundWhenNotExecuted checks that only a request that was not executed is refunded.
 func TestQuotaRefundWhenNotExecuted(t *testing.T) {
 	none := func(context.Context, *fleetpb.AdmitRequest) (string, *fleetpb.AdmitReply, error) {
-		return "", nil, errors.New("nobody is there")
+		return "", nil, errors.New("no control instance")
 	}
 	for name, test := range map[string]struct {
 		answer func(EndpointRequest) (*Response, error)
 		want   int
 	}{
-		"it did not run":  {notExecuted, http.StatusServiceUnavailable},
-		"it may have run": {connectionReset, http.StatusTooManyRequests},
+		"not executed":           {notExecuted, http.StatusServiceUnavailable},
+		"may have been executed": {connectionReset, http.StatusTooManyRequests},
 	} {
-		s := &fakeSender{answers: []func(EndpointRequest) (*Response, error){test.answer}}
+		s := &fakeSender{responses: []func(EndpointRequest) (*Response, error){test.answer}}
 		e := newKeyedEntry(t, s)
 		d := keyedDocument(2)
 		d.Customers[0].RequestsPerSecond, d.Customers[0].Burst = 0.1, 0.5
 		e.applyDocument(t, d)
 		e.Quota = &quota.Limiter{Params: quota.Params{Window: 5 * time.Second}, Mode: quota.Even{}, EntryCount: func() int { return 1 }, AskControl: none}
 		e.Serve(t.Context(), newKeyedRequest("ka", "/once/1"), &fakeWriter{})
-		out := &fakeWriter{}
-		o := e.Serve(t.Context(), newKeyedRequest("ka", "/once/2"), out)
-		if statusOf(o, out) != test.want {
+		w := &fakeWriter{}
+		o := e.Serve(t.Context(), newKeyedRequest("ka", "/once/2"), w)
+		if statusOf(o, w) != test.want {
 			t.Errorf("%s: the next request got %+v, want %d", name, o, test.want)
 		}
 		if r, ok := o.(Rejected); ok && r.Status == http.StatusTooManyRequests && r.RetryAfter <= 0 {
-			t.Errorf("%s: no time to come back", name)
+			t.Errorf("%s: no retry time", name)
 		}
 	}
 }
 
-// TestLimiterArrivalHasCustomer: without that it could neither share among customers nor put one before another.
+// TestLimiterArrivalHasCustomer guards against a limiter that can't share slots fairly among customers.
 func TestLimiterArrivalHasCustomer(t *testing.T) {
 	x := &exchange{
 		request: newRequest("/turn/1"), route: &fleetpb.Route{Priority: 1}, customer: &fleetpb.Customer{Name: "a", Priority: 2, RequestsPerSecond: 7},
@@ -270,7 +269,7 @@
 	}
 }
 
-// asking returns an entry whose control instance answers questions about quotas by a function.
+// newCentralQuotaEntry returns an entry whose quota requests to control are answered by a function.
 func newCentralQuotaEntry(t *testing.T, s *fakeSender, answer func(*fleetpb.AdmitRequest) *fleetpb.AdmitReply) *Entry {
 	e := newKeyedEntry(t, s)
 	d := keyedDocument(2)
@@ -285,18 +284,18 @@
 	return e
 }
 
-// TestOnlyFirstTurnIsNewProgram: they alone leave room to others. A refusal tells when there is room.
+// TestOnlyFirstTurnIsNewProgram checks which requests count as new programs, and the retry time of a rejection.
 func TestOnlyFirstTurnIsNewProgram(t *testing.T) {
 	const after = 700 * time.Millisecond
 	for name, test := range map[string]struct {
 		path, previous, event string
 		want                  bool
 	}{
-		"a first turn":       {"/turn/1", "", "", true},
-		"a later turn":       {"/turn/1", "t0", "", false},
-		"a tool":             {"/once/1", "", "", false},
-		"a stream goes on":   {"/plain/1", "", "7", false},
-		"a stream of itself": {"/plain/1", "", "", true},
+		"a first turn":             {"/turn/1", "", "", true},
+		"a later turn":             {"/turn/1", "t0", "", false},
+		"a tool call":              {"/once/1", "", "", false},
+		"a resumed stream":         {"/plain/1", "", "7", false},
+		"a stream without history": {"/plain/1", "", "", true},
 	} {
 		asked := 0
 		e := newCentralQuotaEntry(t, &fakeSender{}, func(req *fleetpb.AdmitRequest) *fleetpb.AdmitReply {
@@ -318,28 +317,28 @@
 		r.PreviousTurn, r.LastEventID = test.previous, test.event
 		o, ok := e.Serve(t.Context(), r, &fakeWriter{}).(Rejected)
 		if asked != 1 || !ok || o.Status != http.StatusTooManyRequests || o.RetryAfter != after {
-			t.Errorf("%s: %+v after %d questions", name, o, asked)
+			t.Errorf("%s: %+v after %d quota requests", name, o, asked)
 		}
 	}
 }
 
-// TestRetryIsChargedToQuota: a request that may have run at one endpoint and runs at another one counts twice.
+// TestRetryIsChargedToQuota checks that a request that may have been executed twice is charged twice.
 func TestRetryIsChargedToQuota(t *testing.T) {
-	s := &fakeSender{answers: []func(EndpointRequest) (*Response, error){connectionReset, respond(200, "ok")}}
+	s := &fakeSender{responses: []func(EndpointRequest) (*Response, error){connectionReset, respond(200, "ok")}}
 	e := newKeyedEntry(t, s)
 	d := keyedDocument(2)
 	d.Customers[0].RequestsPerSecond, d.Customers[0].Burst = 0.1, 2.5
 	e.applyDocument(t, d)
 	e.Quota = &quota.Limiter{Params: quota.Params{Window: 5 * time.Second}, Mode: quota.Even{}, EntryCount: func() int { return 1 }}
 	for i, want := range []int{200, 200, http.StatusTooManyRequests} {
-		out := &fakeWriter{}
-		if o := e.Serve(t.Context(), newKeyedRequest("ka", "/repeat/1"), out); statusOf(o, out) != want {
-			t.Errorf("request %d of a quota of three runs: %+v, want %d", i+1, o, want)
+		w := &fakeWriter{}
+		if o := e.Serve(t.Context(), newKeyedRequest("ka", "/repeat/1"), w); statusOf(o, w) != want {
+			t.Errorf("request %d with a quota of three executions: %+v, want %d", i+1, o, want)
 		}
 	}
 }
 
-// TestTurnBelongsToCustomer: the record of a turn says whose it is, so that another instance lets only that customer go on.
+// TestTurnBelongsToCustomer checks on other instances that only the customer of a turn can continue it.
 func TestTurnBelongsToCustomer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		view := startStores(t)
@@ -356,17 +355,17 @@
 			e.Lease = &lease.Lease{}
 			r := newTurn("k", id, "p", 1000)
 			r.Key, r.HasKey, r.PreviousTurn = routing.DigestKey(secret), true, previous
-			out := &fakeWriter{}
-			return statusOf(e.Serve(t.Context(), r, out), out)
+			w := &fakeWriter{}
+			return statusOf(e.Serve(t.Context(), r, w), w)
 		}
 		if got := serve("ka", "1", ""); got != 200 {
-			t.Fatalf("the first turn: %d", got)
+			t.Fatalf("first turn: %d", got)
 		}
 		if got := serve("kb", "2", "1"); got != http.StatusNotFound {
-			t.Errorf("another customer goes on: %d", got)
+			t.Errorf("continued by another customer: %d", got)
 		}
 		if got := serve("ka", "3", "1"); got != 200 {
-			t.Errorf("its own customer goes on: %d", got)
+			t.Errorf("continued by its customer: %d", got)
 		}
 	})
 }
--- a/rockbarrow/entry/entry_test.go
+++ b/rockbarrow/entry/entry_test.go
@@ -23,16 +23,16 @@
 	"rockbarrow.dev/schema/fleetpb"
 )
 
-// fakeSender answers offers from a list, the last one for ever.
+// fakeSender returns scripted responses in order and repeats the last one.
 type fakeSender struct {
-	answers []func(o EndpointRequest) (*Response, error)
-	offers  []EndpointRequest
+	responses []func(r EndpointRequest) (*Response, error)
+	requests  []EndpointRequest
 }
 
-func (s *fakeSender) Send(_ context.Context, o EndpointRequest) (*Response, error) {
-	f := s.answers[min(len(s.offers), len(s.answers)-1)]
-	s.offers = append(s.offers, o)
-	return f(o)
+func (s *fakeSender) Send(_ context.Context, r EndpointRequest) (*Response, error) {
+	f := s.responses[min(len(s.requests), len(s.responses)-1)]
+	s.requests = append(s.requests, r)
+	return f(r)
 }
 
 func respond(status int, body string) func(EndpointRequest) (*Response, error) {
@@ -41,15 +41,15 @@
 	}
 }
 
-func notExecuted(o EndpointRequest) (*Response, error) {
-	return nil, &NotExecutedError{Endpoint: o.Endpoint.GetName(), Reason: "full", Busy: true}
+func notExecuted(r EndpointRequest) (*Response, error) {
+	return nil, &NotExecutedError{Endpoint: r.Endpoint.GetName(), Reason: "full", Busy: true}
 }
 
-func connectionReset(o EndpointRequest) (*Response, error) {
-	return nil, &OutcomeUnknownError{Endpoint: o.Endpoint.GetName(), Reason: "reset"}
+func connectionReset(r EndpointRequest) (*Response, error) {
+	return nil, &OutcomeUnknownError{Endpoint: r.Endpoint.GetName(), Reason: "reset"}
 }
 
-// brokenReader fails after its text.
+// brokenReader returns an error instead of io.EOF.
 type brokenReader struct{ io.Reader }
 
 func (r brokenReader) Read(p []byte) (int, error) {
@@ -66,24 +66,22 @@
 	}
 }
 
-// fakeOut keeps what the client sees.
+// fakeWriter records the response that the client gets.
 type fakeWriter struct {
 	status int
 	body   bytes.Buffer
 }
 
-func (o *fakeWriter) Start(status int, _ http.Header, _ int64) { o.status = status }
-func (o *fakeWriter) Write(b []byte) error                     { _, err := o.body.Write(b); return err }
+func (w *fakeWriter) Start(status int, _ http.Header, _ int64) { w.status = status }
+func (w *fakeWriter) Write(b []byte) error                     { _, err := w.body.Write(b); return err }
 
-// quiet drops all log lines.
 func discardLogger() *logrus.Entry {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	return logrus.NewEntry(log)
 }
 
-// newEntry returns an entry with one service of three endpoints and a route of
-// each kind.
+// newEntry returns an entry with one service of three endpoints and a route of each kind.
 func newEntry(t *testing.T, sender Sender) *Entry {
 	w := &watch.Client{Self: &fleetpb.Member{Instance: "entry"}, Log: discardLogger()}
 	pool := &dial.Pool{}
@@ -100,7 +98,7 @@
 	return e
 }
 
-// refresh takes over all news at once.
+// refresh applies the newest configuration and endpoint list.
 func (e *Entry) refresh() {
 	e.updateTable(context.Background(), time.Now())
 	e.updateFleet(time.Now())
@@ -138,39 +136,39 @@
 
 func TestRetries(t *testing.T) {
 	tests := []struct {
-		name    string
-		path    string
-		answers []func(EndpointRequest) (*Response, error)
-		// status is what the client sees, offers how many endpoints were asked.
-		status, offers int
+		name      string
+		path      string
+		responses []func(EndpointRequest) (*Response, error)
+		// status is the client's, dispatches the number of endpoints that got the request.
+		status, dispatches int
 	}{
-		{"served", "/repeat/1", []func(EndpointRequest) (*Response, error){respond(200, "ok")}, 200, 1},
+		{"success", "/repeat/1", []func(EndpointRequest) (*Response, error){respond(200, "ok")}, 200, 1},
 		{"no route", "/none/1", nil, 404, 0},
-		{"a repeatable one is tried again", "/repeat/1", []func(EndpointRequest) (*Response, error){connectionReset, respond(200, "ok")}, 200, 2},
-		{"and again after a lost answer", "/repeat/1", []func(EndpointRequest) (*Response, error){truncated("half"), respond(200, "ok")}, 200, 2},
-		{"but not for ever", "/repeat/1", []func(EndpointRequest) (*Response, error){connectionReset}, 502, 2},
-		{"an unrepeatable one is not", "/once/1", []func(EndpointRequest) (*Response, error){connectionReset, respond(200, "ok")}, 502, 1},
-		{"nor after a lost answer", "/once/1", []func(EndpointRequest) (*Response, error){truncated("half"), respond(200, "ok")}, 502, 1},
-		{"unless it did not run", "/once/1", []func(EndpointRequest) (*Response, error){notExecuted, respond(200, "ok")}, 200, 2},
-		{"all are full", "/once/1", []func(EndpointRequest) (*Response, error){notExecuted}, 503, 3},
-		{"one may have run, the others are full", "/repeat/1", []func(EndpointRequest) (*Response, error){connectionReset, notExecuted}, 502, 3},
-		{"the endpoint's own failure", "/once/1", []func(EndpointRequest) (*Response, error){respond(500, "bad")}, 500, 1},
+		{"repeatable after a lost connection", "/repeat/1", []func(EndpointRequest) (*Response, error){connectionReset, respond(200, "ok")}, 200, 2},
+		{"repeatable after a truncated response", "/repeat/1", []func(EndpointRequest) (*Response, error){truncated("half"), respond(200, "ok")}, 200, 2},
+		{"repeatable up to the maximum attempts", "/repeat/1", []func(EndpointRequest) (*Response, error){connectionReset}, 502, 2},
+		{"not repeatable after a lost connection", "/once/1", []func(EndpointRequest) (*Response, error){connectionReset, respond(200, "ok")}, 502, 1},
+		{"not repeatable after a truncated response", "/once/1", []func(EndpointRequest) (*Response, error){truncated("half"), respond(200, "ok")}, 502, 1},
+		{"not repeatable but not executed", "/once/1", []func(EndpointRequest) (*Response, error){notExecuted, respond(200, "ok")}, 200, 2},
+		{"all endpoints at capacity", "/once/1", []func(EndpointRequest) (*Response, error){notExecuted}, 503, 3},
+		{"one may have executed it, the others are at capacity", "/repeat/1", []func(EndpointRequest) (*Response, error){connectionReset, notExecuted}, 502, 3},
+		{"error response", "/once/1", []func(EndpointRequest) (*Response, error){respond(500, "bad")}, 500, 1},
 	}
 	for _, test := range tests {
-		s := &fakeSender{answers: test.answers}
-		out := &fakeWriter{}
-		o := newEntry(t, s).Serve(t.Context(), newRequest(test.path), out)
-		status := out.status
+		s := &fakeSender{responses: test.responses}
+		w := &fakeWriter{}
+		o := newEntry(t, s).Serve(t.Context(), newRequest(test.path), w)
+		status := w.status
 		if r, ok := o.(Rejected); ok {
 			status = r.Status
 		}
-		if status != test.status || len(s.offers) != test.offers {
-			t.Errorf("%s: status %d after %d offers, want %d after %d (%v)", test.name, status, len(s.offers), test.status, test.offers, o)
+		if status != test.status || len(s.requests) != test.dispatches {
+			t.Errorf("%s: status %d after %d dispatches, want %d after %d (%v)", test.name, status, len(s.requests), test.status, test.dispatches, o)
 		}
-		for i, offer := range s.offers {
-			for _, o := range s.offers[:i] {
-				if o.Endpoint.GetName() == offer.Endpoint.GetName() {
-					t.Errorf("%s: endpoint %s was asked twice", test.name, o.Endpoint.GetName())
+		for i, r := range s.requests {
+			for _, earlier := range s.requests[:i] {
+				if earlier.Endpoint.GetName() == r.Endpoint.GetName() {
+					t.Errorf("%s: endpoint %s got the request twice", test.name, r.Endpoint.GetName())
 				}
 			}
 		}
@@ -178,7 +176,7 @@
 }
 
 func TestDrainingEndpointGetsNoRequestsAfterOlderList(t *testing.T) {
-	s := &fakeSender{answers: []func(EndpointRequest) (*Response, error){respond(200, "ok")}}
+	s := &fakeSender{responses: []func(EndpointRequest) (*Response, error){respond(200, "ok")}}
 	e := newEntry(t, s)
 	e.Watch.UpdateList(endpointList(2, "x", "y"), time.Now())
 	e.refresh()
@@ -187,9 +185,9 @@
 	for range 20 {
 		e.Serve(t.Context(), newRequest("/once/1"), &fakeWriter{})
 	}
-	for _, o := range s.offers {
+	for _, o := range s.requests {
 		if o.Endpoint.GetName() != "z" {
-			t.Fatalf("%s is leaving and got a request", o.Endpoint.GetName())
+			t.Fatalf("draining endpoint %s got a request", o.Endpoint.GetName())
 		}
 	}
 }
@@ -199,7 +197,7 @@
 	e.table.Store(nil)
 	o, ok := e.Serve(t.Context(), newRequest("/none/1"), &fakeWriter{}).(Rejected)
 	if !ok || o.Status != http.StatusServiceUnavailable || o.RetryAfter == 0 {
-		t.Errorf("%+v, want 503 with a time to come back", o)
+		t.Errorf("got %+v, want 503 with a retry time", o)
 	}
 	if ready, _ := e.Ready(); ready {
 		t.Error("ready without a configuration")
@@ -207,17 +205,17 @@
 }
 
 func TestTurnIsReservedBeforeDispatch(t *testing.T) {
-	s := &fakeSender{answers: []func(EndpointRequest) (*Response, error){respond(200, "data: x\n\n")}}
+	s := &fakeSender{responses: []func(EndpointRequest) (*Response, error){respond(200, "data: x\n\n")}}
 	e := newEntry(t, s)
-	// The view has no stores, so that no reservation can be made.
+	// The view has no stores, so reservations fail.
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
 	o, ok := e.Serve(ctx, newRequest("/turn/1"), &fakeWriter{}).(Rejected)
 	if !ok || o.Status != http.StatusServiceUnavailable || o.RetryAfter == 0 {
 		t.Errorf("%+v", o)
 	}
-	if len(s.offers) > 0 {
-		t.Error("an endpoint heard of a turn that is not reserved")
+	if len(s.requests) > 0 {
+		t.Error("an endpoint got a turn without a reservation")
 	}
 }
 
@@ -234,7 +232,7 @@
 	var s eventScanner
 	s.scan([]byte("data: one\n\ndata: tw"))
 	if s.isComplete() {
-		t.Error("a stream that ends inside an event counts as whole")
+		t.Error("a stream that ends inside an event is complete")
 	}
 }
 
@@ -250,32 +248,31 @@
 		counts []*fleetpb.EntryDomain
 		ready  bool
 	}{
-		{"nothing is known", nil, true},
-		{"all serve", counts(3, 3, 2), true},
-		{"half of them are enough", counts(1, 2, 2), true},
-		{"one of three is left", counts(1, 3, 2), false},
-		{"the others are no better off", counts(1, 3, 0), true},
-		{"the others are heard and begin to serve after a loss of power", []*fleetpb.EntryDomain{
+		{"no counts", nil, true},
+		{"all serving", counts(3, 3, 2), true},
+		{"half serving", counts(1, 2, 2), true},
+		{"one of three serving", counts(1, 3, 2), false},
+		{"no other domain has a majority", counts(1, 3, 0), true},
+		{"others send heartbeats but do not serve yet", []*fleetpb.EntryDomain{
 			{FailureDomain: "a", Known: 3, Heard: 3, Serving: 1}, {FailureDomain: "b", Known: 2, Heard: 2, Serving: 2},
 		}, true},
-		{"the others are silent", []*fleetpb.EntryDomain{
+		{"others send no heartbeats", []*fleetpb.EntryDomain{
 			{FailureDomain: "a", Known: 3, Heard: 1, Serving: 1}, {FailureDomain: "b", Known: 2, Heard: 2, Serving: 2},
 		}, false},
 	}
 	for _, test := range tests {
 		e.Watch.ApplyReply(&fleetpb.WatchReply{EntryDomains: test.counts})
-		if ready, why := e.Ready(); ready != test.ready {
-			t.Errorf("%s: ready %v %s", test.name, ready, why)
+		if ready, reason := e.Ready(); ready != test.ready {
+			t.Errorf("%s: ready %v (%s), want %v", test.name, ready, reason, test.ready)
 		}
-		if serves, _ := e.CanServe(); !serves {
-			t.Errorf("%s: the instance says that it does not serve, and so keeps others back too", test.name)
+		if ok, reason := e.CanServe(); !ok {
+			t.Errorf("%s: CanServe is false (%s), which would make other instances not ready too", test.name, reason)
 		}
 	}
 }
 
-// TestNotReadyWhenStartedInPartition: it has learned a state from the
-// control instance beside it, but neither most voters nor most stores answer. One
-// instance that calls itself ready keeps a whole failure domain in the balancer.
+// TestNotReadyWhenStartedInPartition guards against an instance that got its state from a control
+// instance on its side of a partition and reports ready without reaching most voters and stores.
 func TestNotReadyWhenStartedInPartition(t *testing.T) {
 	e := newEntry(t, &fakeSender{})
 	var members []*fleetpb.Member
@@ -285,27 +282,27 @@
 	e.Watch.UpdateState(&fleetpb.State{Number: 2, Configuration: &fleetpb.Configuration{Version: 1},
 		Voters: members, View: &fleetpb.View{Epoch: 1, Copies: 3, Members: members}})
 	if ready, _ := e.Ready(); ready {
-		t.Error("ready although no store and no voter has ever answered")
+		t.Error("ready without any response from stores or voters")
 	}
 }
 
-// TestNotReadyWithoutStores: at a first start it called itself ready with a configuration and no
-// stores, and refused each turn.
+// TestNotReadyWithoutStores guards against reporting ready at the first start, when every turn would
+// be rejected for lack of stores.
 func TestNotReadyWithoutStores(t *testing.T) {
 	e := newEntry(t, &fakeSender{})
-	if ready, why := e.Ready(); !ready {
-		t.Fatal(why)
+	if ready, reason := e.Ready(); !ready {
+		t.Fatal(reason)
 	}
 	e.Watch = &watch.Client{Log: e.Log}
 	e.Watch.UpdateState(&fleetpb.State{Number: 1, Configuration: &fleetpb.Configuration{Version: 1}})
 	if ready, _ := e.Ready(); ready {
-		t.Error("ready although no store is chosen")
+		t.Error("ready without a store view")
 	}
 }
 
-// TestLoadsOfOtherListAreIgnored: loads go by the order of a list.
+// TestLoadsOfOtherListAreIgnored guards against mixing up endpoints: loads are indexed by list position.
 func TestLoadsOfOtherListAreIgnored(t *testing.T) {
-	s := &fakeSender{answers: []func(EndpointRequest) (*Response, error){respond(200, "ok")}}
+	s := &fakeSender{responses: []func(EndpointRequest) (*Response, error){respond(200, "ok")}}
 	e := newEntry(t, s)
 	e.ReceiveLoads(&fleetpb.EndpointLoads{ListNumber: 99, Running: []uint32{9, 9, 9}, Failing: []uint32{90, 90, 90}})
 	e.ReceiveLoads(&fleetpb.EndpointLoads{ListNumber: 1, Running: []uint32{9}, Failing: []uint32{90}})
@@ -314,12 +311,12 @@
 	for range 6 {
 		e.Serve(t.Context(), newRequest("/once/1"), &fakeWriter{})
 	}
-	for _, o := range s.offers {
-		if o.Endpoint.GetName() != "z" {
-			t.Errorf("%s fails for others and got a request", o.Endpoint.GetName())
+	for _, r := range s.requests {
+		if r.Endpoint.GetName() != "z" {
+			t.Errorf("%s is failing at other instances and got a request", r.Endpoint.GetName())
 		}
 	}
 	if uses := e.EndpointUses(); len(uses) != 1 || uses[0].Life.EndpointID != "z" || uses[0].Answered != 6 {
-		t.Errorf("%v, want six answered calls at z", uses)
+		t.Errorf("got %v, want six answered calls at z", uses)
 	}
 }
--- a/rockbarrow/entry/evacuation_test.go
+++ b/rockbarrow/entry/evacuation_test.go
@@ -11,7 +11,7 @@
 	"rockbarrow.dev/schema/fleetpb"
 )
 
-// spread is a list of endpoints in failure domains a and b.
+// twoDomainList returns a list of endpoints in failure domains a and b.
 func twoDomainList(number uint64, inB ...string) *fleetpb.EndpointList {
 	l := endpointList(number)
 	for _, id := range inB {
@@ -20,7 +20,7 @@
 	return l
 }
 
-// evacuate puts a state with evacuated failure domains into force.
+// evacuate applies a state with evacuated failure domains.
 func (e *Entry) evacuate(number uint64, domains ...string) {
 	s := &fleetpb.State{Number: number, Configuration: &fleetpb.Configuration{Version: 1}, View: &fleetpb.View{Epoch: 1, Copies: 3}}
 	for _, d := range domains {
@@ -30,25 +30,25 @@
 	e.refresh()
 }
 
-// TestEvacuatedDomainGetsNoRequests: nobody read the order, and requests went on to the endpoints there.
+// TestEvacuatedDomainGetsNoRequests guards against an evacuation that has no effect on routing.
 func TestEvacuatedDomainGetsNoRequests(t *testing.T) {
 	s := &fakeSender{}
 	e := newEntry(t, s)
 	e.applyList(twoDomainList(2, "p", "q"))
 	domains := func() map[string]int {
 		out := map[string]int{}
-		s.offers = nil
+		s.requests = nil
 		for i := range 40 {
-			s.answers = append(s.answers, respond(200, "ok"))
+			s.responses = append(s.responses, respond(200, "ok"))
 			e.Serve(t.Context(), newRequest(fmt.Sprint("/once/", i)), &fakeWriter{})
 		}
-		for _, o := range s.offers {
-			out[o.Endpoint.GetDomain()]++
+		for _, r := range s.requests {
+			out[r.Endpoint.GetDomain()]++
 		}
 		return out
 	}
-	places := func() int { return e.fleet.Load().Slots(time.Now(), placement.Class{Service: "s"}, 1) }
-	all := places()
+	slots := func() int { return e.fleet.Load().Slots(time.Now(), placement.Class{Service: "s"}, 1) }
+	all := slots()
 	if got := domains(); got["a"] == 0 {
 		t.Fatalf("%v", got)
 	}
@@ -56,10 +56,10 @@
 	if got := domains(); got["a"] != 0 || got["b"] != 40 {
 		t.Errorf("%v after the evacuation of a", got)
 	}
-	if places() >= all {
-		t.Errorf("%d of %d places are left", places(), all)
+	if slots() >= all {
+		t.Errorf("%d of %d slots are left", slots(), all)
 	}
-	// Endpoints come and go meanwhile, and one that is leaving stays out.
+	// Changes of the list during the evacuation.
 	l := twoDomainList(3, "p", "q")
 	l.Endpoints = append(l.Endpoints, &fleetpb.Endpoint{Id: "new", Service: "s", Address: "127.0.0.1:3", FailureDomain: "a", Slots: 4})
 	l.Endpoints[0].Draining = true
@@ -69,14 +69,14 @@
 	}
 	e.evacuate(3)
 	if got := domains(); got["a"] == 0 {
-		t.Errorf("%v after a was taken back", got)
+		t.Errorf("%v after the end of the evacuation", got)
 	}
 	if f := e.fleet.Load(); f.Endpoint("x") != nil || f.Endpoint("new") == nil {
-		t.Error("the leaving endpoint is back, or the new one is not")
+		t.Error("the draining endpoint gets requests again, or the new one gets none")
 	}
 }
 
-// TestRefusalWhenAllDomainsAreEvacuated, with a time to come back.
+// TestRefusalWhenAllDomainsAreEvacuated checks that the rejection has a retry time.
 func TestRefusalWhenAllDomainsAreEvacuated(t *testing.T) {
 	e := newEntry(t, &fakeSender{})
 	e.evacuate(2, "a")
--- a/rockbarrow/entry/incarnations_test.go
+++ b/rockbarrow/entry/incarnations_test.go
@@ -12,23 +12,23 @@
 	"rockbarrow.dev/schema/fleetpb"
 )
 
-// lifeOf is a list with one endpoint, of a life.
-func singleEndpointList(number, bornMS uint64) *fleetpb.EndpointList {
+// singleEndpointList returns a list with one endpoint of the given incarnation.
+func singleEndpointList(number, startMS uint64) *fleetpb.EndpointList {
 	return &fleetpb.EndpointList{Number: number, Endpoints: []*fleetpb.Endpoint{
-		{Id: "x", Service: "s", Address: "127.0.0.1:1", FailureDomain: "a", Slots: 4, BornMs: bornMS},
+		{Id: "x", Service: "s", Address: "127.0.0.1:1", FailureDomain: "a", Slots: 4, BornMs: startMS},
 	}}
 }
 
-// hear takes over a list.
+// applyList applies an endpoint list.
 func (e *Entry) applyList(l *fleetpb.EndpointList) {
 	e.Watch.UpdateList(l, time.Now())
 	e.refresh()
 }
 
-// TestNewIncarnationHasNoFailures: an endpoint that had failed and started again under its id got
-// nothing for up to 30 s, although nothing was known of it.
+// TestNewIncarnationHasNoFailures guards against ejecting a restarted endpoint for the failures before
+// its restart.
 func TestNewIncarnationHasNoFailures(t *testing.T) {
-	s := &fakeSender{answers: []func(EndpointRequest) (*Response, error){connectionReset, connectionReset, connectionReset, respond(200, "ok")}}
+	s := &fakeSender{responses: []func(EndpointRequest) (*Response, error){connectionReset, connectionReset, connectionReset, respond(200, "ok")}}
 	e := newEntry(t, s)
 	e.applyList(singleEndpointList(2, 1000))
 	for range 3 {
@@ -37,40 +37,40 @@
 	if out := e.Serve(t.Context(), newRequest("/once/1"), &fakeWriter{}); out == (Completed{}) {
 		t.Fatal("an endpoint that fails is still used")
 	}
-	// A clock that has stepped back makes no difference.
+	// The start time may be earlier if the clock was set back.
 	e.applyList(singleEndpointList(3, 900))
 	if out := e.Serve(t.Context(), newRequest("/once/1"), &fakeWriter{}); out != (Completed{}) {
-		t.Errorf("%v, want an answer of the new life", out)
+		t.Errorf("%v, want a response from the new incarnation", out)
 	}
 }
 
-// TestSessionLeavesRestartedEndpoint: what the line said before is not there any more, and the endpoint is
-// no better than others. All programs that it had served stayed with it, however full it was.
+// TestSessionLeavesRestartedEndpoint guards against keeping sessions at an endpoint that has lost their
+// prompts in a restart.
 func TestSessionLeavesRestartedEndpoint(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		view := startStores(t)
-		s := &fakeSender{answers: []func(EndpointRequest) (*Response, error){respond(200, events(1, 3))}}
+		s := &fakeSender{responses: []func(EndpointRequest) (*Response, error){respond(200, events(1, 3))}}
 		e := newStreamEntry(t, view, s)
 		number := uint64(10)
-		hear := func(born func(id string) uint64) {
+		apply := func(startMS func(id string) uint64) {
 			l := endpointList(number)
 			number++
 			for _, p := range l.GetEndpoints() {
-				p.BornMs = born(p.GetId())
+				p.BornMs = startMS(p.GetId())
 			}
 			e.applyList(l)
 		}
-		hear(func(string) uint64 { return 1000 })
+		apply(func(string) uint64 { return 1000 })
 		e.Serve(t.Context(), newTurn("r", "first", "moving", 500), &fakeWriter{})
 		awaitSettled(t, e, "moving", 9)
-		first := s.offers[0].Endpoint.GetName()
-		hear(func(id string) uint64 {
+		first := s.requests[0].Endpoint.GetName()
+		apply(func(id string) uint64 {
 			if id == first {
 				return 2000
 			}
 			return 1000
 		})
-		// It runs more than the others, which is no reason to leave it for who was served there.
+		// The endpoint is busier than the others, which alone does not end affinity.
 		running := map[string]uint32{first: 2}
 		loads := &fleetpb.EndpointLoads{ListNumber: number - 1, Failing: make([]uint32, 3)}
 		for _, p := range e.Watch.List().List().GetEndpoints() {
@@ -81,37 +81,37 @@
 			e.Serve(t.Context(), newTurn("r", fmt.Sprint("later", n), "moving", 500), &fakeWriter{})
 			awaitSettled(t, e, "moving", 9*(n+2))
 		}
-		for _, o := range s.offers[1:] {
-			if o.Endpoint.GetName() == first {
-				t.Error("the line went back to an endpoint that had started again")
+		for _, r := range s.requests[1:] {
+			if r.Endpoint.GetName() == first {
+				t.Error("the session returned to a restarted endpoint")
 			}
 		}
 	})
 }
 
-// TestStaleListDoesNotRevertIncarnation: a life that has left is not the one before it, which a list that lags still
-// tells as ready.
+// TestStaleListDoesNotRevertIncarnation guards against sending requests to a draining endpoint because
+// a stale list has its previous incarnation as ready.
 func TestStaleListDoesNotRevertIncarnation(t *testing.T) {
-	s := &fakeSender{answers: []func(EndpointRequest) (*Response, error){respond(200, "ok")}}
+	s := &fakeSender{responses: []func(EndpointRequest) (*Response, error){respond(200, "ok")}}
 	e := newEntry(t, s)
 	e.applyList(singleEndpointList(2, 1000))
 	e.applyList(singleEndpointList(3, 2000))
-	leaving := singleEndpointList(4, 2000)
-	leaving.Endpoints[0].Draining = true
-	e.applyList(leaving)
+	draining := singleEndpointList(4, 2000)
+	draining.Endpoints[0].Draining = true
+	e.applyList(draining)
 	e.applyList(singleEndpointList(5, 1000))
 	if out := e.Serve(t.Context(), newRequest("/once/1"), &fakeWriter{}); out == (Completed{}) {
-		t.Error("a list that lags brought an endpoint back that is leaving")
+		t.Error("a stale list made a draining endpoint usable")
 	}
 	e.applyList(singleEndpointList(6, 3000))
 	if out := e.Serve(t.Context(), newRequest("/once/1"), &fakeWriter{}); out != (Completed{}) {
-		t.Errorf("%v, want an answer of the life after", out)
+		t.Errorf("%v, want a response from the next incarnation", out)
 	}
 }
 
-// TestLoadsOfEndedIncarnationAreIgnored: a list that lags, and the loads that go with it, speak of the life before.
+// TestLoadsOfEndedIncarnationAreIgnored checks loads for a stale list that contains an ended incarnation.
 func TestLoadsOfEndedIncarnationAreIgnored(t *testing.T) {
-	s := &fakeSender{answers: []func(EndpointRequest) (*Response, error){respond(200, "ok")}}
+	s := &fakeSender{responses: []func(EndpointRequest) (*Response, error){respond(200, "ok")}}
 	e := newEntry(t, s)
 	e.applyList(singleEndpointList(2, 1000))
 	e.applyList(singleEndpointList(3, 2000))
@@ -124,27 +124,27 @@
 	e.ReceiveLoads(failing)
 	after := e.fleet.Load().Slots(time.Now(), placement.Class{Service: "s"}, 4)
 	if before <= after {
-		t.Errorf("%d places while an ended life was told as full, %d while the present one is", before, after)
+		t.Errorf("%d slots while an ended incarnation is reported as busy, %d while the current one is", before, after)
 	}
 }
 
-// reconnected is an answer over a connection that took the place of one that the endpoint had closed.
-func respondReconnected(o EndpointRequest) (*Response, error) {
-	a, err := respond(200, "ok")(o)
-	a.Reconnected = true
-	return a, err
+// respondReconnected responds over a new connection in place of an idle one that the endpoint had closed.
+func respondReconnected(r EndpointRequest) (*Response, error) {
+	resp, err := respond(200, "ok")(r)
+	resp.Reconnected = true
+	return resp, err
 }
 
-// TestPossibleRestartsAreReported: lost calls, answers that end midway and closed connections are all that an instance sees
-// of a new start. A full endpoint is none.
+// TestPossibleRestartsAreReported checks that lost calls, truncated responses and closed idle connections are reported as
+// possible restarts, and rejections of a busy endpoint are not.
 func TestPossibleRestartsAreReported(t *testing.T) {
 	for name, tt := range map[string]struct {
-		answer func(EndpointRequest) (*Response, error)
-		want   uint64
+		respond func(EndpointRequest) (*Response, error)
+		want    uint64
 	}{
-		"answered": {respond(200, "ok"), 0}, "full": {notExecuted, 0}, "lost": {connectionReset, 1}, "cut off": {truncated("par"), 1}, "reconnected": {respondReconnected, 1},
+		"success": {respond(200, "ok"), 0}, "at capacity": {notExecuted, 0}, "lost": {connectionReset, 1}, "truncated": {truncated("par"), 1}, "reconnected": {respondReconnected, 1},
 	} {
-		e := newEntry(t, &fakeSender{answers: []func(EndpointRequest) (*Response, error){tt.answer}})
+		e := newEntry(t, &fakeSender{responses: []func(EndpointRequest) (*Response, error){tt.respond}})
 		e.applyList(singleEndpointList(2, 1000))
 		e.Serve(t.Context(), newRequest("/once/1"), &fakeWriter{})
 		var lost uint64
@@ -152,21 +152,21 @@
 			lost += u.Lost
 		}
 		if lost != tt.want {
-			t.Errorf("%s: %d losses are told, want %d", name, lost, tt.want)
+			t.Errorf("%s: %d losses reported, want %d", name, lost, tt.want)
 		}
 	}
 }
 
-// TestStoresKeepIncarnation: an instance that has not seen a program hears of its endpoint from the stores, for turns whose
-// history is kept and others, and does not go back to it by its id alone.
+// TestStoresKeepIncarnation checks that another instance gets the incarnation of a program's last endpoint from the stores,
+// with and without stored history.
 func TestStoresKeepIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		view := startStores(t)
 		for _, path := range []string{"r", "k"} {
-			s := &fakeSender{answers: []func(EndpointRequest) (*Response, error){respond(200, events(1, 3))}}
-			for n, born := range []uint64{1000, 2000} {
+			s := &fakeSender{responses: []func(EndpointRequest) (*Response, error){respond(200, events(1, 3))}}
+			for n, startMS := range []uint64{1000, 2000} {
 				e := newStreamEntry(t, view, s)
-				e.applyList(singleEndpointList(10, born))
+				e.applyList(singleEndpointList(10, startMS))
 				r := newTurn(path, fmt.Sprint(path, n), "kept-"+path, 500)
 				if n > 0 && path == "k" {
 					r.PreviousTurn = path + "0"
@@ -179,14 +179,13 @@
 				}
 				x.handling, x.deadline = handlingOf(x.route, r), time.Now().Add(time.Second)
 				if o := x.prepare(t.Context()); o != nil || x.previous.EndpointID != "x" || x.previous.StartMS != 1000 {
-					t.Errorf("%s: %v, %v, want the life that served the turn before", path, o, x.previous)
+					t.Errorf("%s: %v, %v, want the incarnation that served the previous turn", path, o, x.previous)
 				}
 			}
 		}
 	})
 }
 
-// routeOf returns the route of a request.
 func routeOf(t *testing.T, e *Entry, r *Request) *fleetpb.Route {
 	t.Helper()
 	route, ok := e.table.Load().Match(r.Host, r.Path)
--- a/rockbarrow/entry/stalls_test.go
+++ b/rockbarrow/entry/stalls_test.go
@@ -13,13 +13,13 @@
 	"rockbarrow.dev/schema/fleetpb"
 )
 
-// hang is an endpoint behind a cut: the connection stays, and nothing comes any more.
-// Some events may have come before.
-func stalledEndpoint(before string) func(ctx context.Context, o EndpointRequest) (*Response, error) {
-	return func(ctx context.Context, o EndpointRequest) (*Response, error) {
+// stalledEndpoint simulates a partitioned endpoint: it sends the events of before, and then nothing
+// while the connection stays open.
+func stalledEndpoint(before string) func(ctx context.Context, r EndpointRequest) (*Response, error) {
+	return func(ctx context.Context, r EndpointRequest) (*Response, error) {
 		if before == "" {
 			<-ctx.Done()
-			return connectionReset(o)
+			return connectionReset(r)
 		}
 		read, write := io.Pipe()
 		go io.WriteString(write, before)
@@ -28,7 +28,7 @@
 	}
 }
 
-// patient is the document of streams with a timeout that no test reaches.
+// longTimeoutDocument is streamDocument with a timeout that no test reaches.
 func longTimeoutDocument() *fleetpb.Document {
 	d := streamDocument()
 	for _, r := range d.GetRoutes() {
@@ -37,8 +37,8 @@
 	return d
 }
 
-// TestUnreachableEndpointIsAbandoned: a client that hears at once tries elsewhere
-// while there is time left. The requests have minutes, so that this hangs if they wait.
+// TestUnreachableEndpointIsAbandoned guards against waiting for an endpoint in an unreachable failure
+// domain. The requests have minutes left, so that a wait makes the test hang.
 func TestUnreachableEndpointIsAbandoned(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tests := []struct {
@@ -46,8 +46,8 @@
 			want                Outcome
 		}{
 			{"a stream before its first event", "plain", "", Rejected{Status: http.StatusBadGateway}},
-			{"a stream in its middle", "plain", event(1), Aborted{}},
-			{"a turn that is kept", "k", event(1), Aborted{}},
+			{"a started stream", "plain", event(1), Aborted{}},
+			{"a turn with stored history", "k", event(1), Aborted{}},
 		}
 		view := startStores(t)
 		for _, test := range tests {
@@ -72,26 +72,26 @@
 	})
 }
 
-// TestStallDetector: an endpoint that is reached may take its time.
+// TestStallDetector checks which pauses count as stalls. A reachable endpoint may be slow.
 func TestStallDetector(t *testing.T) {
 	d := &domainHealth{}
 	d.setUnreachable([]string{"far"})
 	tests := []struct {
-		name   string
-		p      *stallDetector
-		pause  time.Duration
-		wanted bool
+		name  string
+		p     *stallDetector
+		pause time.Duration
+		want  bool
 	}{
-		{"a domain that is reached", &stallDetector{domains: d, domain: "near", streaming: true}, time.Minute, false},
-		{"no endpoint yet", &stallDetector{domains: d}, time.Minute, false},
-		{"a short pause in a cut", &stallDetector{domains: d, domain: "far", streaming: true}, unreachableStallTimeout - 1, false},
-		{"a pause in a cut", &stallDetector{domains: d, domain: "far"}, unreachableStallTimeout, true},
-		{"a queue elsewhere", &stallDetector{domains: d, domain: "near", canResume: true}, time.Minute, false},
-		{"a stream that another can go on with", &stallDetector{domains: d, domain: "near", canResume: true, streaming: true}, stallTimeout, true},
+		{"reachable domain", &stallDetector{domains: d, domain: "near", streaming: true}, time.Minute, false},
+		{"no endpoint chosen", &stallDetector{domains: d}, time.Minute, false},
+		{"short pause in an unreachable domain", &stallDetector{domains: d, domain: "far", streaming: true}, unreachableStallTimeout - 1, false},
+		{"pause in an unreachable domain", &stallDetector{domains: d, domain: "far"}, unreachableStallTimeout, true},
+		{"queued at a reachable endpoint", &stallDetector{domains: d, domain: "near", canResume: true}, time.Minute, false},
+		{"resumable stream", &stallDetector{domains: d, domain: "near", canResume: true, streaming: true}, stallTimeout, true},
 	}
 	for _, test := range tests {
-		if got := test.p.isStalled(test.pause); got != test.wanted {
-			t.Errorf("%s: %v", test.name, got)
+		if got := test.p.isStalled(test.pause); got != test.want {
+			t.Errorf("%s: stalled is %v, want %v", test.name, got, test.want)
 		}
 	}
 }
--- a/rockbarrow/entry/stores_test.go
+++ b/rockbarrow/entry/stores_test.go
@@ -20,20 +20,18 @@
 	"rockbarrow.dev/schema/fleetpb"
 )
 
-// network leads connections to listeners in memory. With it these tests run under the clock
-// of package synctest, which stands still while anything works: how fast the machine is
-// decides nothing. On a busy machine reservations had no answer in their second before. Its connections are those
-// of [net.Pipe]: the buffered ones of grpc's package bufconn begin two timers of no delay each, and under the race
-// detector such timers, two at once in one bubble of synctest, bring go1.26.8's runtime down (docs/FINDINGS.md).
+// network connects to listeners in memory, so that tests can run under the fake clock of package
+// synctest and do not depend on the machine's speed. It uses [net.Pipe] because grpc's bufconn
+// crashes the runtime of go1.26.8 under synctest and the race detector (docs/FINDINGS.md).
 type network struct {
-	last      atomic.Int64
+	lastID    atomic.Int64
 	listeners sync.Map
 }
 
 var memoryNetwork network
 
 func (n *network) listen() (address string, l net.Listener) {
-	address = fmt.Sprint("memory-", n.last.Add(1))
+	address = fmt.Sprint("memory-", n.lastID.Add(1))
 	m := &memoryListener{address: address, conns: make(chan net.Conn), closed: make(chan struct{})}
 	n.listeners.Store(address, m)
 	return address, m
@@ -42,12 +40,12 @@
 func (n *network) dial(ctx context.Context, address string) (net.Conn, error) {
 	l, ok := n.listeners.Load(address)
 	if !ok {
-		return nil, errors.Errorf("nobody listens at %s", address)
+		return nil, errors.Errorf("no listener at %s", address)
 	}
 	return l.(*memoryListener).dial(ctx)
 }
 
-// memoryListener hands one end of each connection to who accepts.
+// memoryListener is a [net.Listener] for [net.Pipe] connections.
 type memoryListener struct {
 	address string
 	conns   chan net.Conn
@@ -56,10 +54,10 @@
 }
 
 func (l *memoryListener) dial(ctx context.Context) (net.Conn, error) {
-	here, there := net.Pipe()
+	client, server := net.Pipe()
 	select {
-	case l.conns <- there:
-		return here, nil
+	case l.conns <- server:
+		return client, nil
 	case <-l.closed:
 		return nil, net.ErrClosed
 	case <-ctx.Done():
@@ -83,20 +81,18 @@
 
 func (l *memoryListener) Addr() net.Addr { return memoryAddress(l.address) }
 
-// memoryAddress is an address of the network in memory.
+// memoryAddress is the address of a memoryListener.
 type memoryAddress string
 
 func (a memoryAddress) Network() string { return "memory" }
 func (a memoryAddress) String() string  { return string(a) }
 
-// backgroundEnds is longer than any call in the background, by the clock that stands still.
+// backgroundTimeout exceeds the time of any background call, by the fake clock.
 const backgroundTimeout = time.Minute
 
-// startStores runs three stores, each with a disk of its own, and returns a view of
-// them.
+// startStores runs three stores and returns a view of them.
 func startStores(t *testing.T) *fleetpb.View {
-	// Settlements in the background outlive their requests. Cleaned up first is what came
-	// last, so that this is the end.
+	// Wait for settlements in the background. Cleanups run in reverse order, so this is the last.
 	t.Cleanup(func() { <-time.After(backgroundTimeout) })
 	view := &fleetpb.View{Epoch: 1, Copies: 3}
 	var watches []*watch.Client
--- a/rockbarrow/entry/updates_test.go
+++ b/rockbarrow/entry/updates_test.go
@@ -13,16 +13,14 @@
 	"rockbarrow.dev/schema/fleetpb"
 )
 
-// TestDrainingIsNotDelayedByConfiguration: a configuration gained 1,400 routes
-// while endpoints were replaced. An instance took it in for seconds, and until then sent
-// requests to an endpoint whose leaving it had heard of, because tables and fleets were
-// renewed one after the other.
+// TestDrainingIsNotDelayedByConfiguration guards against requests to a draining endpoint while a large
+// configuration is being applied.
 func TestDrainingIsNotDelayedByConfiguration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := newEntry(t, &fakeSender{})
-		taken := make(chan struct{})
+		release := make(chan struct{})
 		e.Decode = func([]byte) (*fleetpb.Document, error) {
-			<-taken
+			<-release
 			d := testDocument()
 			d.Version = 2
 			return d, nil
@@ -35,12 +33,12 @@
 		e.Watch.UpdateList(endpointList(2, "y"), time.Now())
 		synctest.Wait()
 		if e.fleet.Load().Endpoint("y") != nil {
-			t.Error("a leaving endpoint still gets requests while a configuration is taken in")
+			t.Error("a draining endpoint still gets requests while a configuration is being applied")
 		}
 		if v := e.table.Load().Version(); v != 1 {
-			t.Errorf("version %d is in force before it was taken in", v)
+			t.Errorf("version %d is in force before it was decoded", v)
 		}
-		close(taken)
+		close(release)
 		synctest.Wait()
 		if v := e.table.Load().Version(); v != 2 {
 			t.Errorf("version %d is in force, want 2", v)
@@ -50,8 +48,8 @@
 	})
 }
 
-// TestTableFetchIsRetried: until control is reached, and what came of it
-// by then is in force meanwhile. What is not readable is not asked for without end.
+// TestTableFetchIsRetried checks that a fetch is retried while control is unreachable, that a partial
+// result is used meanwhile, and that an invalid table is not fetched again.
 func TestTableFetchIsRetried(t *testing.T) {
 	table := func(version uint64) *routing.Table {
 		d := testDocument()
@@ -84,24 +82,25 @@
 		<-time.After(2*fetchRetryInterval + fetchRetryInterval/2)
 		synctest.Wait()
 		if v := e.table.Load().Version(); v != 3 || len(fetched) != 3 || fetched[2] != 2 {
-			t.Errorf("version %d is in force after asking with %v", v, fetched)
+			t.Errorf("version %d is in force after fetches from versions %v", v, fetched)
 		}
 		e.Watch.UpdateState(&fleetpb.State{Number: 3, Configuration: &fleetpb.Configuration{Version: 4}})
 		<-time.After(10 * fetchRetryInterval)
 		synctest.Wait()
 		if v := e.table.Load().Version(); v != 3 || len(fetched) != 4 {
-			t.Errorf("version %d is in force after asking with %v", v, fetched)
+			t.Errorf("version %d is in force after fetches from versions %v", v, fetched)
 		}
 		cancel()
 		synctest.Wait()
 	})
 }
 
-// TestWholeDocumentFromPreviousVersion: they are taken as they come.
+// TestWholeDocumentFromPreviousVersion checks compatibility with control instances that send whole
+// documents.
 func TestWholeDocumentFromPreviousVersion(t *testing.T) {
 	e := newEntry(t, &fakeSender{})
 	e.FetchTable = func(context.Context, *routing.Table, uint64) (*routing.Table, error) {
-		t.Error("a table was asked for that came as a document")
+		t.Error("a table was fetched although the document was sent")
 		return nil, &watch.TableFetchError{}
 	}
 	e.Decode = func([]byte) (*fleetpb.Document, error) {
