--- a/rockbarrow/entry/entry.go
+++ b/rockbarrow/entry/entry.go
@@ -26,8 +26,9 @@
 	// as a start, and longRetryAfter with others.
 	shortRetryAfter = 150 * time.Millisecond
 	longRetryAfter  = 400 * time.Millisecond
-	// balancerRemovalTime is how long the balancer takes to remove partitioned instances:
-	// two probes a second apart, and a margin for instances that detect it later.
+	// balancerRemovalTime is how long after the detection of a partition the balancer has
+	// removed the partitioned instances. It probes twice, a second apart, and the last
+	// instances detect the partition half a second later.
 	balancerRemovalTime = 2500 * time.Millisecond
 	// minRetryElsewhere is the retry delay once the balancer sends new connections to
 	// other instances.
--- a/rockbarrow/entry/exchange.go
+++ b/rockbarrow/entry/exchange.go
@@ -155,7 +155,7 @@
 	}, newRand())
 }
 
-// newRand returns a generator for one choice, which is not safe for concurrent use.
+// newRand returns a generator for a single choice, because [rand.Rand] is not safe for concurrent use.
 func newRand() *rand.Rand { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) }
 
 // dispatch chooses an endpoint and sends it the request within attemptCtx. The returned
--- a/rockbarrow/entry/loads.go
+++ b/rockbarrow/entry/loads.go
@@ -68,8 +68,9 @@
 	f.SetRemoteLoads(time.Now(), loads)
 }
 
-// CustomerUses returns the admitted requests of each customer that are not yet reported to a
-// control instance. If whole is true, it returns those of the whole quota window.
+// CustomerUses returns how many requests of each customer were admitted since the process started,
+// except those that the control instance granted and counts itself. If whole is true, the control
+// instance has no counts yet, and those of the quota window are returned instead.
 func (e *Entry) CustomerUses(control string, whole bool) []watch.CustomerUse {
 	uses := e.Quota.Admitted(control)
 	if whole {
@@ -82,7 +83,8 @@
 	return out
 }
 
-// ReceiveCustomers applies the admitted requests of each customer at all entry instances.
-func (e *Entry) ReceiveCustomers(counts []*fleetpb.CustomerCount, asked time.Time) {
-	e.Quota.SetCounts(asked, counts)
+// ReceiveCustomers applies the counts of requests admitted by all entry instances, which were
+// requested at the given time.
+func (e *Entry) ReceiveCustomers(counts []*fleetpb.CustomerCount, requested time.Time) {
+	e.Quota.SetCounts(requested, counts)
 }
