--- a/rockbarrow/routing/update.go
+++ b/rockbarrow/routing/update.go
@@ -182,24 +182,24 @@
 func (t *Table) Snapshot() (*fleetpb.TableChange, error) {
 	t = t.orEmpty()
 	c := &fleetpb.TableChange{Version: t.version, Limits: t.encodedLimits, Digest: t.Digest()}
-	var failed error
+	var encodeErr error
 	t.services.each(func(_ []byte, s *fleetpb.Service) bool {
 		var raw []byte
-		raw, failed = marshal(s)
+		raw, encodeErr = marshal(s)
 		c.Services = append(c.Services, raw)
-		return failed == nil
+		return encodeErr == nil
 	})
-	if failed != nil {
-		return nil, failed
+	if encodeErr != nil {
+		return nil, encodeErr
 	}
 	t.routes.each(func(_ []byte, r *fleetpb.Route) bool {
 		var raw []byte
-		raw, failed = marshal(r)
+		raw, encodeErr = marshal(r)
 		c.Routes = append(c.Routes, raw)
-		return failed == nil
+		return encodeErr == nil
 	})
-	if failed != nil {
-		return nil, failed
+	if encodeErr != nil {
+		return nil, encodeErr
 	}
 	return c, t.addCustomersTo(c)
 }
--- a/rockbarrow/watch/follow.go
+++ b/rockbarrow/watch/follow.go
@@ -55,9 +55,9 @@
 		}
 		return cmp.Compare(a.rank, b.rank)
 	})
-	near := c.firstMatching(all, maxFollowedLocal, func(t *target) bool { return c.isLocal(t) && t.backoffRemaining(now) == 0 })
-	others := c.firstMatching(all, maxFollowed-len(near), func(t *target) bool { return !slices.Contains(near, t) && !c.isLocal(t) })
-	out := append(near, others...)
+	local := c.firstMatching(all, maxFollowedLocal, func(t *target) bool { return c.isLocal(t) && t.backoffRemaining(now) == 0 })
+	others := c.firstMatching(all, maxFollowed-len(local), func(t *target) bool { return !slices.Contains(local, t) && !c.isLocal(t) })
+	out := append(local, others...)
 	return append(out, c.firstMatching(all, maxFollowed-len(out), func(t *target) bool { return !slices.Contains(out, t) })...)
 }
 
--- a/rockbarrow/watch/follow_test.go
+++ b/rockbarrow/watch/follow_test.go
@@ -37,18 +37,18 @@
 }
 
 // followed returns the followed targets and the local ones among them.
-func (c *Client) followed() (all, near []*target) {
+func (c *Client) followed() (all, local []*target) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, t := range c.targets {
 		if t.wanted {
 			all = append(all, t)
 			if c.isLocal(t) {
-				near = append(near, t)
+				local = append(local, t)
 			}
 		}
 	}
-	return all, near
+	return all, local
 }
 
 // TestAnInstanceCallsAFewControlInstances guards against calls that grow with the
@@ -56,12 +56,12 @@
 func TestAnInstanceCallsAFewControlInstances(t *testing.T) {
 	for _, n := range []int{1, 2, 3, 25, 50} {
 		c := newFollowingClient(t, "entry", n)
-		all, near := c.followed()
+		all, local := c.followed()
 		if want := min(n, maxFollowed); len(all) != want {
 			t.Errorf("%d of %d control instances are followed, want %d", len(all), n, want)
 		}
-		if n >= 25 && len(near) != maxFollowedLocal {
-			t.Errorf("%d of them are in the client's failure domain", len(near))
+		if n >= 25 && len(local) != maxFollowedLocal {
+			t.Errorf("%d of them are in the client's failure domain", len(local))
 		}
 		c.Role = fleetpb.Role_ROLE_CONTROL
 		c.mu.Lock()
@@ -100,18 +100,18 @@
 	c := newFollowingClient(t, "entry", 25)
 	now := time.Now()
 	all, _ := c.followed()
-	lost := all[0]
+	unresponsive := all[0]
 	c.mu.Lock()
-	lost.lastAnswer = now.Add(-2 * unreachableAfter)
+	unresponsive.lastAnswer = now.Add(-2 * unreachableAfter)
 	c.mu.Unlock()
-	lost.handleFailure(context.DeadlineExceeded)
-	if again, _ := c.followed(); len(again) != maxFollowed || lost.wanted {
-		t.Fatalf("%d are followed, the unresponsive one: %v", len(again), lost.wanted)
+	unresponsive.handleFailure(context.DeadlineExceeded)
+	if again, _ := c.followed(); len(again) != maxFollowed || unresponsive.wanted {
+		t.Fatalf("%d are followed, the unresponsive one: %v", len(again), unresponsive.wanted)
 	}
 	c.mu.Lock()
 	c.updateFollowed(now.Add(minBackoff + time.Second))
 	c.mu.Unlock()
-	if !lost.wanted {
+	if !unresponsive.wanted {
 		t.Error("it is not followed again")
 	}
 	// With all local instances in backoff, the others are followed instead.
@@ -123,8 +123,8 @@
 	}
 	c.updateFollowed(now)
 	c.mu.Unlock()
-	if again, near := c.followed(); len(again) != maxFollowed || len(near) != 0 {
-		t.Errorf("%d are followed, %d of them in backoff", len(again), len(near))
+	if again, local := c.followed(); len(again) != maxFollowed || len(local) != 0 {
+		t.Errorf("%d are followed, %d of them in backoff", len(again), len(local))
 	}
 }
 
@@ -167,14 +167,14 @@
 	if !c.CutOff() || c.ReachesDomain("domain-4") {
 		t.Error("not cut off although no control instance has answered")
 	}
-	_, near := c.followed()
-	reply := &fleetpb.WatchReply{Responder: near[0].member, Reach: &fleetpb.Reach{AllRelay: true, Majority: true, FailureDomains: []string{"domain-4"}}}
-	c.recordAnswer(near[0], reply, time.Now())
+	_, local := c.followed()
+	reply := &fleetpb.WatchReply{Responder: local[0].member, Reach: &fleetpb.Reach{AllRelay: true, Majority: true, FailureDomains: []string{"domain-4"}}}
+	c.recordAnswer(local[0], reply, time.Now())
 	if c.CutOff() || !c.ReachesDomain("domain-4") || c.ReachesDomain("domain-9") {
 		t.Error("cut off although a control instance reaches a majority of the voters")
 	}
 	reply.Reach = &fleetpb.Reach{AllRelay: true}
-	c.recordAnswer(near[0], reply, time.Now())
+	c.recordAnswer(local[0], reply, time.Now())
 	if !c.CutOff() || c.ReachesDomain("domain-4") {
 		t.Error("not cut off although the only control instance that answers is")
 	}
@@ -232,25 +232,25 @@
 
 // TestEndpointUsesAreReportedToOneControlInstance guards against uses that are counted twice through relays.
 func TestEndpointUsesAreReportedToOneControlInstance(t *testing.T) {
-	c, near, far := newTestClient(t), &recordingControl{reply: &fleetpb.WatchReply{}}, &recordingControl{reply: &fleetpb.WatchReply{}}
+	c, primary, secondary := newTestClient(t), &recordingControl{reply: &fleetpb.WatchReply{}}, &recordingControl{reply: &fleetpb.WatchReply{}}
 	c.EndpointUses = func() []EndpointUse { return []EndpointUse{{Running: 1, Answered: 5}} }
-	first, second := c.serve(t, near), c.serve(t, far)
+	first, second := c.serve(t, primary), c.serve(t, secondary)
 	second.member = &fleetpb.Member{FailureDomain: "b"}
-	near.reply.Responder, far.reply.Responder = first.member, second.member
+	primary.reply.Responder, secondary.reply.Responder = first.member, second.member
 	for _, target := range []*target{first, second} {
 		if err := target.poll(t.Context()); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if len(near.lastRequest.GetUses()) != 1 || !near.lastRequest.GetWantsLoads() || len(far.lastRequest.GetUses()) != 0 || far.lastRequest.GetWantsLoads() {
-		t.Errorf("requests %v and %v", near.lastRequest, far.lastRequest)
+	if len(primary.lastRequest.GetUses()) != 1 || !primary.lastRequest.GetWantsLoads() || len(secondary.lastRequest.GetUses()) != 0 || secondary.lastRequest.GetWantsLoads() {
+		t.Errorf("requests %v and %v", primary.lastRequest, secondary.lastRequest)
 	}
 	// The next instance receives only what is new.
 	first.answered = false
 	if err := second.poll(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	if uses := far.lastRequest.GetUses(); len(uses) != 1 || uses[0].GetRunning() != 1 || uses[0].GetAnswered() != 0 {
+	if uses := secondary.lastRequest.GetUses(); len(uses) != 1 || uses[0].GetRunning() != 1 || uses[0].GetAnswered() != 0 {
 		t.Errorf("uses %v", uses)
 	}
 }
--- a/rockbarrow/watch/received.go
+++ b/rockbarrow/watch/received.go
@@ -17,21 +17,21 @@
 	at   time.Time
 }
 
-// List returns the list, or nil if r is nil.
-func (r *ListSnapshot) List() *fleetpb.EndpointList {
-	return r.Version().Proto()
+// List returns the list, or nil if s is nil.
+func (s *ListSnapshot) List() *fleetpb.EndpointList {
+	return s.Version().Proto()
 }
 
-// Version returns the list with its checksum, or nil if r is nil.
-func (r *ListSnapshot) Version() *catalog.List {
-	if r == nil {
+// Version returns the list with its checksum, or nil if s is nil.
+func (s *ListSnapshot) Version() *catalog.List {
+	if s == nil {
 		return nil
 	}
-	return r.list
+	return s.list
 }
 
 // ConfirmedAt returns when the list was last known to be current.
-func (r *ListSnapshot) ConfirmedAt() time.Time { return r.at }
+func (s *ListSnapshot) ConfirmedAt() time.Time { return s.at }
 
 // UpdateState replaces the current state if s is newer, and reports whether it did.
 func (c *Client) UpdateState(s *fleetpb.State) bool {
--- a/rockbarrow/watch/target.go
+++ b/rockbarrow/watch/target.go
@@ -72,14 +72,14 @@
 	now := time.Now()
 	c.mu.Lock()
 	silent := now.Sub(t.lastAnswer) > unreachableAfter
-	lost := silent && !t.unreachable
+	newlyUnreachable := silent && !t.unreachable
 	if silent && t.backoffRemaining(now) == 0 {
 		t.startBackoff(now)
 		c.updateFollowed(now)
 	}
 	t.unreachable = t.unreachable || silent
 	c.mu.Unlock()
-	if lost {
+	if newlyUnreachable {
 		c.Log.WithError(err).WithField("control", t.address).Warn("control instance is not reached")
 	}
 }
@@ -132,10 +132,10 @@
 	if r.GetState() != nil || r.GetPackedList() != nil || r.GetListChange() != nil {
 		size = proto.Size(r)
 	}
-	list, unreadable := c.unpack(req, r)
-	t.needsWhole = unreadable != nil
+	list, unpackErr := c.unpack(req, r)
+	t.needsWhole = unpackErr != nil
 	if t.needsWhole {
-		c.Log.WithError(unreadable).WithField("control", t.address).Warn("news are not readable and are asked for whole")
+		c.Log.WithError(unpackErr).WithField("control", t.address).Warn("news are not readable and are asked for whole")
 	}
 	t.logUpdate(r, size, arrived.Sub(asked), time.Since(arrived))
 	t.recordCustomerUses(customers, r.GetProcess())
@@ -146,7 +146,7 @@
 		by = asked.Add(maxWait)
 	}
 	c.handleReply(t, r, list, asked, by)
-	return unreadable
+	return unpackErr
 }
 
 // logTimeout logs a call for updates that got no answer in time. It separates slow
@@ -176,13 +176,13 @@
 // decoded, it is dropped and the other is still applied. The list is nil if the
 // reply contains no newer one.
 func (c *Client) unpack(req *fleetpb.WatchRequest, r *fleetpb.WatchReply) (*catalog.List, error) {
-	state, unreadableState := c.Documents.UnpackState(r.GetState())
+	state, stateErr := c.Documents.UnpackState(r.GetState())
 	r.State = state
-	list, unreadableList := c.unpackList(req, r)
-	if unreadableList != nil {
-		return nil, unreadableList
+	list, listErr := c.unpackList(req, r)
+	if listErr != nil {
+		return nil, listErr
 	}
-	return list, unreadableState
+	return list, stateErr
 }
 
 func (c *Client) unpackList(req *fleetpb.WatchRequest, r *fleetpb.WatchReply) (*catalog.List, error) {
--- a/rockbarrow/watch/uses.go
+++ b/rockbarrow/watch/uses.go
@@ -84,8 +84,8 @@
 }
 
 func (c *Client) isPreferred(t, o *target) bool {
-	if near := c.isLocal(t); near != c.isLocal(o) {
-		return near
+	if local := c.isLocal(t); local != c.isLocal(o) {
+		return local
 	}
 	return t.rank < o.rank
 }
--- a/rockbarrow/watch/uses_test.go
+++ b/rockbarrow/watch/uses_test.go
@@ -49,14 +49,14 @@
 
 func TestPrimaryIsLocalAndAnswers(t *testing.T) {
 	now := time.Now()
-	near := &target{address: "9", member: &fleetpb.Member{FailureDomain: "a"}, answered: true, lastAnswer: now}
-	far := &target{address: "1", member: &fleetpb.Member{FailureDomain: "b"}, answered: true, lastAnswer: now}
-	c := &Client{Self: &fleetpb.Member{FailureDomain: "a"}, targets: map[string]*target{"9": near, "1": far}}
-	if c.primary(now) != near {
+	local := &target{address: "9", member: &fleetpb.Member{FailureDomain: "a"}, answered: true, lastAnswer: now}
+	remote := &target{address: "1", member: &fleetpb.Member{FailureDomain: "b"}, answered: true, lastAnswer: now}
+	c := &Client{Self: &fleetpb.Member{FailureDomain: "a"}, targets: map[string]*target{"9": local, "1": remote}}
+	if c.primary(now) != local {
 		t.Error("the primary is not in the client's failure domain")
 	}
-	near.lastAnswer = now.Add(-unreachableAfter)
-	if c.primary(now) != far {
+	local.lastAnswer = now.Add(-unreachableAfter)
+	if c.primary(now) != remote {
 		t.Error("an unresponsive instance is still primary")
 	}
 }
--- a/rockbarrow/watch/watch.go
+++ b/rockbarrow/watch/watch.go
@@ -69,11 +69,12 @@
 	// AwaitsConfirmation reports whether the sender has received no confirmation yet; may be nil.
 	AwaitsConfirmation func() bool
 	// CustomerUses returns the number of requests admitted for each customer since
-	// the process started, without those that the given control instance granted.
+	// the process started, without those that the given control instance granted,
+	// or, if window is set, those within the window of quotas.
 	// OnCustomerCounts receives the requests admitted at all entry instances, with
 	// the time at which the control instance was asked. Both are nil if the sender
 	// admits no requests.
-	CustomerUses     func(control string, whole bool) []CustomerUse
+	CustomerUses     func(control string, window bool) []CustomerUse
 	OnCustomerCounts func(counts []*fleetpb.CustomerCount, asked time.Time)
 	// FollowAll reports whether to follow every control instance, as quotas require; nil means no.
 	FollowAll func() bool
@@ -108,14 +109,14 @@
 	for _, a := range c.Seeds {
 		c.addTarget(a, nil)
 	}
-	sweep, choose := time.NewTicker(sweepInterval), time.NewTicker(selectInterval)
+	sweep, reselect := time.NewTicker(sweepInterval), time.NewTicker(selectInterval)
 	defer sweep.Stop()
-	defer choose.Stop()
+	defer reselect.Stop()
 	for {
 		select {
 		case now := <-sweep.C:
 			c.Pool.CloseIdle(now)
-		case now := <-choose.C:
+		case now := <-reselect.C:
 			c.mu.Lock()
 			c.expireTargets(now)
 			c.updateFollowed(now)
@@ -237,7 +238,7 @@
 // handleReply processes the answer to a call that was sent at asked. Ages in the
 // answer count from by. List is the reply's list, nil if it contains no newer one.
 func (c *Client) handleReply(t *target, r *fleetpb.WatchReply, list *catalog.List, asked, by time.Time) {
-	if back := c.recordAnswer(t, r, asked); back {
+	if wasUnreachable := c.recordAnswer(t, r, asked); wasUnreachable {
 		c.Log.WithField("control", t.address).Info("control instance is reached again")
 	}
 	c.ApplyReply(r)
@@ -255,7 +256,7 @@
 
 // recordAnswer records that a target has answered, and reports whether it was
 // unreachable before.
-func (c *Client) recordAnswer(t *target, r *fleetpb.WatchReply, asked time.Time) (back bool) {
+func (c *Client) recordAnswer(t *target, r *fleetpb.WatchReply, asked time.Time) (wasUnreachable bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
@@ -264,7 +265,7 @@
 	if storage := r.GetResponder().GetStorage(); c.Role == fleetpb.Role_ROLE_CONTROL && storage != 0 {
 		c.votes.Record(storage, r.GetAcceptedNumber(), asked)
 	}
-	back, t.unreachable = t.unreachable, false
+	wasUnreachable, t.unreachable = t.unreachable, false
 	if len(r.GetControl()) > 0 {
 		t.knownControl, t.controlSum = r.GetControl(), r.GetControlSum()
 	}
@@ -272,5 +273,5 @@
 		c.upsertTarget(m.GetAddress(), m)
 	}
 	c.updateFollowed(now)
-	return back
+	return wasUnreachable
 }
