--- a/rockbarrow/watch/table_test.go
+++ b/rockbarrow/watch/table_test.go
@@ -189,8 +189,8 @@
 func TestFetchTableFailsWithoutSource(t *testing.T) {
 	before, _, _, _ := tables(t)
 	for _, c := range []*Client{newTestClient(t), newTestClient(t, &fakeControl{})} {
-		var unreached *TableFetchError
-		if got, err := c.FetchTable(t.Context(), before, 2); !errors.As(err, &unreached) || got != before {
+		var fetchErr *TableFetchError
+		if got, err := c.FetchTable(t.Context(), before, 2); !errors.As(err, &fetchErr) || got != before {
 			t.Errorf("version %d, %v", got.Version(), err)
 		}
 	}
