--- a/rockbench/soak/customers.go
+++ b/rockbench/soak/customers.go
@@ -43,7 +43,7 @@
 	ledger *standin.Ledger
 	r      *rand.Rand
 	// secrets are the keys that hold, by customer.
-	secrets wire.Secrets
+	secrets wire.CustomerKeys
 
 	mu sync.Mutex
 	// passed are all keys that the passing customer ever had, and revoked when the loss of each was
@@ -61,7 +61,7 @@
 }
 
 func newCustomers(l *standin.Ledger, r *rand.Rand) *customers {
-	c := &customers{ledger: l, r: r, secrets: wire.Secrets{bounded: {"secret-" + bounded}}, revoked: map[string]time.Time{}}
+	c := &customers{ledger: l, r: r, secrets: wire.CustomerKeys{bounded: {"secret-" + bounded}}, revoked: map[string]time.Time{}}
 	for i := range steady {
 		c.secrets[steadyName(i)] = []string{"secret-" + steadyName(i)}
 	}
@@ -71,7 +71,7 @@
 }
 
 // held returns the keys that hold, by customer.
-func (c *customers) held() wire.Secrets {
+func (c *customers) held() wire.CustomerKeys {
 	if c == nil {
 		return nil
 	}
--- a/rockbench/soak/invalid.go
+++ b/rockbench/soak/invalid.go
@@ -53,7 +53,7 @@
 	if s.document != nil {
 		s.document(d)
 	}
-	b, err := wire.Encode(d, f.customers.held())
+	b, err := wire.EncodeDocument(d, f.customers.held())
 	if err != nil {
 		f.ledger.Break("%v", err)
 		return
