--- a/rockbench/soak/ends_test.go
+++ b/rockbench/soak/ends_test.go
@@ -32,10 +32,10 @@
 	}
 	dir := t.TempDir()
 	at := func(offset int) string { return fmt.Sprintf("%s:%d", ip(0, 1), first+portSpan+offset) }
-	in := &instance{role: role, binary: binary, plan: settings.Plan{
-		Instance: role, Domain: "domain-0", IP: ip(0, 1), FirstPort: first, LastPort: first + portSpan - 1,
-		Control: []string{at(0)}, First: true, DataDir: filepath.Join(dir, "data"), List: at(3), Losses: 1, MemoryMB: 256,
-		GraceSeconds: 1, Operators: at(0), Consumers: at(1), Ready: at(2),
+	in := &instance{role: role, binary: binary, plan: settings.FileParams{
+		Instance: role, FailureDomain: "domain-0", IP: ip(0, 1), FirstPort: first, LastPort: first + portSpan - 1,
+		Seeds: []string{at(0)}, Bootstrap: true, DataDir: filepath.Join(dir, "data"), ListAddress: at(3), FaultTolerance: 1, MemoryMB: 256,
+		GraceSeconds: 1, OperatorAddress: at(0), ConsumerAddress: at(1), ReadyAddress: at(2),
 	}}
 	if err := in.open(dir); err != nil {
 		t.Fatal(err)
@@ -143,7 +143,7 @@
 	in := solo(t, binary, "entry")
 	in.mustStart(t)
 	awaitServed(t, in)
-	in.plan.Control = append(in.plan.Control, ip(1, 1)+":1")
+	in.plan.Seeds = append(in.plan.Seeds, ip(1, 1)+":1")
 	in.writeSettings(t)
 	awaitLogged(t, in, "the settings were read again")
 }
@@ -156,14 +156,14 @@
 		t.Fatal(err)
 	}
 	in := solo(t, binary, "entry")
-	l, err := net.Listen("tcp", in.plan.Consumers)
+	l, err := net.Listen("tcp", in.plan.ConsumerAddress)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
 	in.mustStart(t)
 	awaitLogged(t, in, `"what":"consumers"`)
-	if accepts(in.plan.Ready) {
+	if accepts(in.plan.ReadyAddress) {
 		t.Error("readiness is served")
 	}
 	l.Close()
--- a/rockbench/soak/faults.go
+++ b/rockbench/soak/faults.go
@@ -194,7 +194,7 @@
 		return
 	}
 	defer in.claimed.Unlock()
-	text, err := in.plan.Text()
+	text, err := in.plan.TOML()
 	if err == nil {
 		err = os.WriteFile(in.file, []byte(text[:r.IntN(len(text))]), 0o600)
 	}
@@ -288,9 +288,9 @@
 }
 
 func endDomain(ctx context.Context, f *fleet, r *rand.Rand, last time.Duration) {
-	domain := f.control[r.IntN(len(f.control))].plan.Domain
+	domain := f.control[r.IntN(len(f.control))].plan.FailureDomain
 	endAll(func(f *fleet) []*instance {
-		return slices.DeleteFunc(f.all(), func(in *instance) bool { return in.plan.Domain != domain })
+		return slices.DeleteFunc(f.all(), func(in *instance) bool { return in.plan.FailureDomain != domain })
 	})(ctx, f, r, last)
 }
 
--- a/rockbench/soak/fleet.go
+++ b/rockbench/soak/fleet.go
@@ -204,10 +204,10 @@
 		domains = append(domains, fmt.Sprint("domain-", d))
 	}
 	add := func(role string, d, n int) (*instance, error) {
-		in := &instance{role: role, binary: binary, plan: settings.Plan{
-			Instance: fmt.Sprintf("%s-%d-%d", role, d, n), Domain: domains[d], Domains: domains, IP: ip(d, n),
-			FirstPort: first, LastPort: first + portSpan - 1, Control: control, First: true,
-			List: f.listens.Addr().String(), Losses: 1, MemoryMB: 256, GraceSeconds: grace,
+		in := &instance{role: role, binary: binary, plan: settings.FileParams{
+			Instance: fmt.Sprintf("%s-%d-%d", role, d, n), FailureDomain: domains[d], FailureDomains: domains, IP: ip(d, n),
+			FirstPort: first, LastPort: first + portSpan - 1, Seeds: control, Bootstrap: true,
+			ListAddress: f.listens.Addr().String(), FaultTolerance: 1, MemoryMB: 256, GraceSeconds: grace,
 			RevokeMS: float64(revokeWithin.Milliseconds()), Quota: quotaTerms,
 		}}
 		in.plan.DataDir = filepath.Join(f.dir, in.plan.Instance)
@@ -222,7 +222,7 @@
 		if err != nil {
 			return err
 		}
-		c.plan.Operators = fmt.Sprintf("%s:%d", c.plan.IP, first+portSpan)
+		c.plan.OperatorAddress = fmt.Sprintf("%s:%d", c.plan.IP, first+portSpan)
 		f.control = append(f.control, c)
 		s, err := add("store", d, 2)
 		if err != nil {
@@ -235,8 +235,8 @@
 				return err
 			}
 			e.plan.DataDir = ""
-			e.plan.Consumers = fmt.Sprintf("%s:%d", e.plan.IP, first+portSpan)
-			e.plan.Ready = fmt.Sprintf("%s:%d", e.plan.IP, first+portSpan+1)
+			e.plan.ConsumerAddress = fmt.Sprintf("%s:%d", e.plan.IP, first+portSpan)
+			e.plan.ReadyAddress = fmt.Sprintf("%s:%d", e.plan.IP, first+portSpan+1)
 			f.entries = append(f.entries, e)
 		}
 	}
@@ -247,7 +247,7 @@
 func (f *fleet) operators() []string {
 	var out []string
 	for _, c := range f.control {
-		out = append(out, c.plan.Operators)
+		out = append(out, c.plan.OperatorAddress)
 	}
 	return out
 }
--- a/rockbench/soak/instance.go
+++ b/rockbench/soak/instance.go
@@ -23,7 +23,7 @@
 // instance is one process of the product.
 type instance struct {
 	role   string
-	plan   settings.Plan
+	plan   settings.FileParams
 	binary string
 	file   string
 	log    *os.File
@@ -56,7 +56,7 @@
 
 // write writes the settings.
 func (in *instance) write() error {
-	text, err := in.plan.Text()
+	text, err := in.plan.TOML()
 	if err != nil {
 		return err
 	}
@@ -82,7 +82,7 @@
 	in.cmd, in.exited, in.meant = cmd, make(chan struct{}), true
 	go (&reaper{instance: in, cmd: cmd, exited: in.exited}).run()
 	// Only the very first start is one.
-	in.plan.First = false
+	in.plan.Bootstrap = false
 	return nil
 }
 
@@ -227,9 +227,9 @@
 func (in *instance) serves() []served {
 	switch in.role {
 	case "entry":
-		return []served{{"consumers", in.plan.Consumers}, {"readiness", in.plan.Ready}}
+		return []served{{"consumers", in.plan.ConsumerAddress}, {"readiness", in.plan.ReadyAddress}}
 	case "control":
-		return []served{{"peers", in.plan.PeerListen()}, {"operators", in.plan.Operators}}
+		return []served{{"peers", in.plan.PeerListen()}, {"operators", in.plan.OperatorAddress}}
 	}
 	return []served{{"peers", in.plan.PeerListen()}}
 }
@@ -246,7 +246,7 @@
 
 // ready reports whether an entry instance says that it is ready.
 func (in *instance) ready() bool {
-	resp, err := probe.Get("http://" + in.plan.Ready + "/v1/readyz")
+	resp, err := probe.Get("http://" + in.plan.ReadyAddress + "/v1/readyz")
 	if err != nil {
 		return false
 	}
--- a/rockbench/soak/routes.go
+++ b/rockbench/soak/routes.go
@@ -94,7 +94,7 @@
 	last := "no answer"
 	for n := 0; ctx.Err() == nil; n++ {
 		id := fmt.Sprintf("probe%s%s-%d", e.plan.Instance, path, n)
-		status, err := standin.Probe(ctx, client, e.plan.Consumers, host, path+"x", id)
+		status, err := standin.Probe(ctx, client, e.plan.ConsumerAddress, host, path+"x", id)
 		switch {
 		case err != nil:
 			last = err.Error()
--- a/rockbench/soak/soak.go
+++ b/rockbench/soak/soak.go
@@ -185,7 +185,7 @@
 func (s *soak) entries() []string {
 	var out []string
 	for _, e := range s.fleet.entries {
-		out = append(out, e.plan.Consumers)
+		out = append(out, e.plan.ConsumerAddress)
 	}
 	return out
 }
--- a/rockbench/soak/start.go
+++ b/rockbench/soak/start.go
@@ -70,8 +70,8 @@
 // startLater starts an instance after a while, as at a first start or not. No fault has it until then.
 func (s *firstStart) startLater(ctx context.Context, in *instance) {
 	after := time.Duration(s.r.Int64N(int64(longestAway)))
-	in.plan.First = s.r.IntN(2) == 0
-	s.tell("%s is away for %v, first start %v", in, after, in.plan.First)
+	in.plan.Bootstrap = s.r.IntN(2) == 0
+	s.tell("%s is away for %v, first start %v", in, after, in.plan.Bootstrap)
 	in.claimed.Lock()
 	go (&lateStart{fleet: s.fleet, instance: in, after: after}).run(ctx)
 }
