--- a/rockbench/soak/customers.go
+++ b/rockbench/soak/customers.go
@@ -40,7 +40,7 @@
 
 // customers are those of the configuration.
 type customers struct {
-	ledger *standin.Ledger
+	ledger *standin.Recorder
 	r      *rand.Rand
 	// secrets are the keys that hold, by customer.
 	secrets wire.CustomerKeys
@@ -60,13 +60,13 @@
 	sent       time.Time
 }
 
-func newCustomers(l *standin.Ledger, r *rand.Rand) *customers {
+func newCustomers(l *standin.Recorder, r *rand.Rand) *customers {
 	c := &customers{ledger: l, r: r, secrets: wire.CustomerKeys{bounded: {"secret-" + bounded}}, revoked: map[string]time.Time{}}
 	for i := range steady {
 		c.secrets[steadyName(i)] = []string{"secret-" + steadyName(i)}
 	}
 	most := (boundedRate*quotaTerms.Window.Seconds() + boundedBurst) * (1 + quotaTerms.Overrun)
-	l.Bound(bounded, standin.Bound{Most: int(most + quotaTerms.Slack), Window: quotaTerms.Window})
+	l.SetRateLimit(bounded, standin.RateLimit{Max: int(most + quotaTerms.Slack), Window: quotaTerms.Window})
 	return c
 }
 
@@ -196,7 +196,7 @@
 	for _, try := range c.tries {
 		gone, ok := c.revoked[try.secret]
 		if ok && try.sent.Sub(gone) > revokeWithin && c.ledger.HasRun(try.id) {
-			c.ledger.Break("request %s ran under a key %v after it was taken away", try.id, try.sent.Sub(gone))
+			c.ledger.AddViolation("request %s ran under a key %v after it was taken away", try.id, try.sent.Sub(gone))
 		}
 	}
 }
--- a/rockbench/soak/evacuations.go
+++ b/rockbench/soak/evacuations.go
@@ -31,28 +31,28 @@
 		defer f.mu.Unlock()
 		for _, e := range f.endpoints {
 			if e.Domain == domain {
-				n += e.Taken()
+				n += e.RequestCount()
 			}
 		}
 		return n
 	}
 	if err := f.operator.Evacuate(ctx, domain, false); err != nil {
-		f.ledger.Break("no control instance acknowledges an evacuation: %v", err)
+		f.ledger.AddViolation("no control instance acknowledges an evacuation: %v", err)
 		return
 	}
 	wait.For(ctx, evacuatedAfter)
 	before := taken()
 	f.runPrograms(ctx, "evacuated", entries)
 	if after := taken(); after != before {
-		f.ledger.Break("endpoints of an evacuated failure domain got %d requests", after-before)
+		f.ledger.AddViolation("endpoints of an evacuated failure domain got %d requests", after-before)
 	}
 	if err := f.operator.Evacuate(ctx, domain, true); err != nil {
-		f.ledger.Break("no control instance acknowledges the end of an evacuation: %v", err)
+		f.ledger.AddViolation("no control instance acknowledges the end of an evacuation: %v", err)
 		return
 	}
 	for end := time.Now().Add(usedWithin); taken() == before; {
 		if ctx.Err() != nil || time.Now().After(end) {
-			f.ledger.Break("endpoints of a failure domain that was taken back got no request")
+			f.ledger.AddViolation("endpoints of a failure domain that was taken back got no request")
 			return
 		}
 		f.runPrograms(ctx, "taken-back", entries)
@@ -68,7 +68,7 @@
 	for n := range evacuatedPrograms {
 		p := &standin.Program{
 			Name: fmt.Sprint(name, "-", n, "-", time.Now().UnixNano()), Turns: 1, Entries: entries, Host: host, TurnPath: "/turn/", OncePath: "/once/",
-			RepeatPath: "/repeat/", Rand: r, Ledger: f.ledger, Client: client,
+			RepeatPath: "/repeat/", Rand: r, Recorder: f.ledger, Client: client,
 		}
 		p.Customer, p.Secret = f.customers.of(n)
 		p.Run(ctx)
--- a/rockbench/soak/faults.go
+++ b/rockbench/soak/faults.go
@@ -111,7 +111,7 @@
 		defer in.claimed.Unlock()
 		in.stop(syscall.SIGKILL)
 		if err := in.wipe(); err != nil {
-			f.ledger.Break("%v", err)
+			f.ledger.AddViolation("%v", err)
 		}
 		wait.For(ctx, last)
 		f.restart(in)
@@ -136,9 +136,9 @@
 func loseAnswers(ctx context.Context, f *fleet, r *rand.Rand, last time.Duration) {
 	const perThousand = 60
 	e := f.endpoint(r)
-	e.LoseAnswers.Store(perThousand)
+	e.DropPerMille.Store(perThousand)
 	wait.For(ctx, last)
-	e.LoseAnswers.Store(0)
+	e.DropPerMille.Store(0)
 }
 
 // replaceEndpoint lets one leave after another has come.
@@ -147,7 +147,7 @@
 	defer f.replacing.Unlock()
 	old := f.endpoint(r)
 	if _, err := f.addEndpoint(old.Service, old.Domain); err != nil {
-		f.ledger.Break("%v", err)
+		f.ledger.AddViolation("%v", err)
 		return
 	}
 	leave(ctx, f, old, last)
@@ -175,9 +175,9 @@
 	for range 1 + r.IntN(4) {
 		entries = append(entries, json.RawMessage(foreignEntries[r.IntN(len(foreignEntries))]))
 	}
-	f.list.SetForeign(entries...)
+	f.list.SetExtraEntries(entries...)
 	wait.For(ctx, last)
-	f.list.SetForeign()
+	f.list.SetExtraEntries()
 }
 
 func hangUp(ctx context.Context, f *fleet, _ *rand.Rand, last time.Duration) {
@@ -199,13 +199,13 @@
 		err = os.WriteFile(in.file, []byte(text[:r.IntN(len(text))]), 0o600)
 	}
 	if err != nil {
-		f.ledger.Break("%v", err)
+		f.ledger.AddViolation("%v", err)
 		return
 	}
 	in.signal(syscall.SIGHUP)
 	wait.For(ctx, last)
 	if err := in.write(); err != nil {
-		f.ledger.Break("%v", err)
+		f.ledger.AddViolation("%v", err)
 	}
 	in.signal(syscall.SIGHUP)
 }
@@ -229,12 +229,12 @@
 		}
 		defer in.claimed.Unlock()
 		if err := in.limitFiles(uint64(r.IntN(64 << 10))); err != nil {
-			f.ledger.Break("%v", err)
+			f.ledger.AddViolation("%v", err)
 			return
 		}
 		wait.For(ctx, last)
 		if err := in.limitFiles(unix.RLIM_INFINITY); err != nil {
-			f.ledger.Break("%v", err)
+			f.ledger.AddViolation("%v", err)
 		}
 	}
 }
@@ -251,7 +251,7 @@
 	for _, s := range in.serves() {
 		l, err := net.Listen("tcp", s.address)
 		if err != nil {
-			f.ledger.Break("%s: %v", in.plan.Instance, err)
+			f.ledger.AddViolation("%s: %v", in.plan.Instance, err)
 			continue
 		}
 		held = append(held, l)
@@ -296,7 +296,7 @@
 
 func (f *fleet) restart(in *instance) {
 	if err := in.start(); err != nil {
-		f.ledger.Break("%s was not started again: %v", in.plan.Instance, err)
+		f.ledger.AddViolation("%s was not started again: %v", in.plan.Instance, err)
 	}
 }
 
--- a/rockbench/soak/fleet.go
+++ b/rockbench/soak/fleet.go
@@ -59,7 +59,7 @@
 	endpoints []*standin.Endpoint
 	list      *standin.List
 	listens   net.Listener
-	ledger    *standin.Ledger
+	ledger    *standin.Recorder
 	operator  *standin.Operator
 	// configuring is held while a configuration is sent, and while one has to stay.
 	configuring sync.Mutex
@@ -87,7 +87,7 @@
 // ends it.
 func newFleet(ctx context.Context, cfg Config) (*fleet, func(), error) {
 	f := &fleet{
-		dir: cfg.Dir, domains: max(seeds, cfg.Domains), ledger: &standin.Ledger{}, list: &standin.List{},
+		dir: cfg.Dir, domains: max(seeds, cfg.Domains), ledger: &standin.Recorder{}, list: &standin.List{},
 		routes: &routes{r: rand.New(rand.NewPCG(cfg.Seed, seedOfRoutes))},
 	}
 	if cfg.Before == "" {
@@ -158,7 +158,7 @@
 func (f *fleet) newEndpoint(id, service, domain string) *standin.Endpoint {
 	return &standin.Endpoint{
 		ID: id, Service: service, Domain: domain, Slots: 64,
-		Work: 4 * time.Millisecond, Stream: service == "model", Ledger: f.ledger,
+		ServiceTime: 4 * time.Millisecond, Stream: service == "model", Recorder: f.ledger,
 	}
 }
 
@@ -240,7 +240,7 @@
 			f.entries = append(f.entries, e)
 		}
 	}
-	f.operator = &standin.Operator{Addresses: f.operators(), Ledger: f.ledger, Secrets: f.customers.held()}
+	f.operator = &standin.Operator{Addresses: f.operators(), Recorder: f.ledger, Secrets: f.customers.held()}
 	return nil
 }
 
@@ -312,7 +312,7 @@
 	f.routes.change()
 	one, other := f.document(f.version), f.document(f.version)
 	other.Limits.BodyBytes *= 2
-	return f.operator.Race(ctx, one, other)
+	return f.operator.DeployConcurrently(ctx, one, other)
 }
 
 // document returns the configuration of a version.
--- a/rockbench/soak/invalid.go
+++ b/rockbench/soak/invalid.go
@@ -55,7 +55,7 @@
 	}
 	b, err := wire.EncodeDocument(d, f.customers.held())
 	if err != nil {
-		f.ledger.Break("%v", err)
+		f.ledger.AddViolation("%v", err)
 		return
 	}
 	if s.text != nil {
@@ -66,5 +66,5 @@
 		}
 		b = spoiled
 	}
-	f.operator.Refused(ctx, s.name, b)
+	f.operator.ExpectRefusal(ctx, s.name, b)
 }
--- a/rockbench/soak/lives.go
+++ b/rockbench/soak/lives.go
@@ -41,7 +41,7 @@
 	}
 	wait.For(ctx, last/4)
 	if err := f.startEndpoint(f.nextLife(old, r), anyPort); err != nil {
-		f.ledger.Break("%v", err)
+		f.ledger.AddViolation("%v", err)
 	}
 }
 
@@ -54,8 +54,8 @@
 	for range 1 + r.IntN(mostStarts) {
 		next := f.nextLife(old, r)
 		f.ledger.Count("starts of endpoints at their address")
-		if err := next.Follow(old); err != nil {
-			f.ledger.Break("%s: %v", old.ID, err)
+		if err := next.Replace(old); err != nil {
+			f.ledger.AddViolation("%s: %v", old.ID, err)
 			f.removeEndpoint(old)
 			return
 		}
@@ -70,11 +70,11 @@
 	e := f.newEndpoint(old.ID, old.Service, old.Domain)
 	switch r.IntN(6) {
 	case 0:
-		e.BornMS = old.BornMS - uint64(1+r.Int64N(clockStep.Milliseconds()))
+		e.StartMS = old.StartMS - uint64(1+r.Int64N(clockStep.Milliseconds()))
 	case 1:
-		e.Told = standin.ToldNothing
+		e.StartReport = standin.ReportNoStart
 	case 2:
-		e.Told = standin.ToldText
+		e.StartReport = standin.ReportInvalidStart
 	}
 	return e
 }
@@ -95,7 +95,7 @@
 	f.mu.Lock()
 	before := map[*standin.Endpoint]int64{}
 	for _, e := range f.endpoints {
-		before[e] = e.Taken()
+		before[e] = e.RequestCount()
 	}
 	f.mu.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, usedWithin)
@@ -106,12 +106,12 @@
 	for n := 0; ctx.Err() == nil; n++ {
 		p := &standin.Program{
 			Name: fmt.Sprint("last-", n), Turns: 1, Entries: entries, Host: host, TurnPath: "/turn/", OncePath: "/once/",
-			RepeatPath: "/repeat/", Rand: r, Ledger: f.ledger, Client: client,
+			RepeatPath: "/repeat/", Rand: r, Recorder: f.ledger, Client: client,
 		}
 		p.Customer, p.Secret = f.customers.of(n)
 		p.Run(ctx)
 		for e, taken := range before {
-			if e.Taken() > taken {
+			if e.RequestCount() > taken {
 				delete(before, e)
 			}
 		}
@@ -120,6 +120,6 @@
 		}
 	}
 	for e := range before {
-		f.ledger.Break("%s, born %d, got no request in %v after the faults", e.ID, e.BornMS, usedWithin)
+		f.ledger.AddViolation("%s, born %d, got no request in %v after the faults", e.ID, e.StartMS, usedWithin)
 	}
 }
--- a/rockbench/soak/recovery_test.go
+++ b/rockbench/soak/recovery_test.go
@@ -44,7 +44,7 @@
 		p := &standin.Program{
 			Name: fmt.Sprint("p", i), Turns: turns, Entries: s.entries(), Host: host,
 			TurnPath: "/turn/", OncePath: "/once/", RepeatPath: "/repeat/",
-			Rand: rand.New(rand.NewPCG(1, uint64(i))), Ledger: f.ledger, Client: &http.Client{Transport: &http.Transport{}},
+			Rand: rand.New(rand.NewPCG(1, uint64(i))), Recorder: f.ledger, Client: &http.Client{Transport: &http.Transport{}},
 		}
 		p.Customer, p.Secret = f.customers.of(i)
 		running.Go(func() {
@@ -73,7 +73,7 @@
 	if !f.operator.Check(t.Context()) {
 		t.Error("no control instance is sure of the configuration")
 	}
-	for _, b := range append(f.ledger.Broken(), f.failures()...) {
+	for _, b := range append(f.ledger.Violations(), f.failures()...) {
 		t.Error(b)
 	}
 	if before >= programs*turns {
--- a/rockbench/soak/routes.go
+++ b/rockbench/soak/routes.go
@@ -75,7 +75,7 @@
 	f.configuring.Lock()
 	defer f.configuring.Unlock()
 	if err := f.sendNext(ctx); err != nil {
-		f.ledger.Break("a configuration was not taken: %v", err)
+		f.ledger.AddViolation("a configuration was not taken: %v", err)
 		return
 	}
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
@@ -105,5 +105,5 @@
 		}
 		wait.For(ctx, checkEvery)
 	}
-	f.ledger.Break("%s does not route by the newest configuration: %s, routed there: %v, %s", e.plan.Instance, path, routed, last)
+	f.ledger.AddViolation("%s does not route by the newest configuration: %s, routed there: %v, %s", e.plan.Instance, path, routed, last)
 }
--- a/rockbench/soak/soak.go
+++ b/rockbench/soak/soak.go
@@ -70,7 +70,7 @@
 		// Whatever was under way was cut off, which breaks no promise.
 		return nil, errors.Wrap(err, "soak: stopped")
 	}
-	return &Report{Seed: cfg.Seed, Counts: f.ledger.Counts(), Broken: append(f.ledger.Broken(), f.failures()...)}, nil
+	return &Report{Seed: cfg.Seed, Counts: f.ledger.Counts(), Broken: append(f.ledger.Violations(), f.failures()...)}, nil
 }
 
 type soak struct {
@@ -106,7 +106,7 @@
 	running.Wait()
 	s.fleet.customers.check()
 	if !s.fleet.operator.Check(finish) {
-		s.fleet.ledger.Break("no control instance is sure of the configuration after the faults")
+		s.fleet.ledger.AddViolation("no control instance is sure of the configuration after the faults")
 	}
 	s.fleet.checkRoutes(finish)
 	s.fleet.checkEndpoints(finish, s.entries())
@@ -147,7 +147,7 @@
 			err = s.fleet.deploy(ctx)
 		}
 		if err != nil && ctx.Err() == nil {
-			s.fleet.ledger.Break("a configuration was not taken: %v", err)
+			s.fleet.ledger.AddViolation("a configuration was not taken: %v", err)
 		}
 		wait.For(ctx, checkEvery)
 	}
@@ -169,7 +169,7 @@
 		p := &standin.Program{
 			Name: fmt.Sprintf("p%d-%d-%d", w.soak.cfg.Seed, w.number, n), Turns: 2 + w.r.IntN(6), Entries: w.soak.entries(),
 			Host: host, TurnPath: "/turn/", OncePath: "/once/", RepeatPath: "/repeat/",
-			Rand: w.r, Ledger: w.soak.fleet.ledger, Client: client,
+			Rand: w.r, Recorder: w.soak.fleet.ledger, Client: client,
 		}
 		p.Customer, p.Secret = w.soak.fleet.customers.of(w.number)
 		const tight, budget = 4, 45
@@ -177,7 +177,7 @@
 			p.Budget = budget
 		}
 		if !p.Run(finish) {
-			w.soak.fleet.ledger.Break("program %s did not come to its end", p.Name)
+			w.soak.fleet.ledger.AddViolation("program %s did not come to its end", p.Name)
 		}
 	}
 }
