--- a/rockbarrow/host/perform.go
+++ b/rockbarrow/host/perform.go
@@ -33,7 +33,7 @@
 // was sent. Called with mu held.
 func (r *run) unusedSeat() *seated {
 	s := r.seat
-	if s == nil || s.sent || r.owner == nil || r.owner.Machine.Holds(s.attempt) {
+	if s == nil || s.sent || r.owner == nil || r.owner.Machine.UsesSlot(s.attempt) {
 		return nil
 	}
 	r.seat = nil
@@ -43,7 +43,7 @@
 // do performs one action of the program.
 func (r *run) do(o *owner.Owner, a program.Action) {
 	switch a := a.(type) {
-	case program.Tell:
+	case program.Reply:
 		r.tell(a.ID, a.Event, a.Done)
 	case program.Place:
 		r.place(o, a)
@@ -51,9 +51,9 @@
 		r.dispatch(o, a)
 	case program.Abort:
 		r.abort(a)
-	case program.Release:
+	case program.ReleaseMemory:
 		go (&release{run: r, endpoint: a.Endpoint}).loop()
-	case program.Return:
+	case program.ReturnBudget:
 		go (&credit{run: r, action: a, customer: o.Machine.State().Created().GetCustomer()}).loop()
 	}
 }
@@ -63,7 +63,7 @@
 	created := o.Machine.State().Created()
 	s := r.host.Config()
 	if p := r.refusal(s, created, a.EntryDomain); p != nil {
-		r.post(owner.Asked{Event: program.Unplaced{Sequence: a.Sequence, Attempt: a.Attempt, Problem: p}})
+		r.post(owner.Asked{Event: program.PlacementFailed{Sequence: a.Sequence, Attempt: a.Attempt, Problem: p}})
 		return
 	}
 	bounds := placement.Boundaries(a.History)
@@ -81,16 +81,16 @@
 			PromptTokens:   promptOf(bounds),
 			OutputTokens:   int64(a.AnswerTokens),
 			Prefixes:       r.host.Desk.Prefixes.Find(bounds),
-			LastEndpoint:   incarnation.ID{EndpointID: a.Last},
+			LastEndpoint:   incarnation.ID{EndpointID: a.LastEndpoint},
 			AvoidEndpoints: avoid,
 		},
-		AttainedService: a.Attained,
-		Started:         time.UnixMilli(o.Machine.State().MadeMS()),
+		AttainedService: a.SpentTokens,
+		Started:         time.UnixMilli(o.Machine.State().CreatedMS()),
 		Retry:           a.Attempt > 1,
 	}
 	job.Placed = func(seat *dispatch.Slot) { r.placed(a, seat, s.Version()) }
 	job.Rejected = func(p *peerpb.Problem) {
-		r.post(owner.Asked{Event: program.Unplaced{Sequence: a.Sequence, Attempt: a.Attempt, Problem: p}})
+		r.post(owner.Asked{Event: program.PlacementFailed{Sequence: a.Sequence, Attempt: a.Attempt, Problem: p}})
 	}
 	r.host.Desk.Submit(job)
 }
@@ -155,7 +155,7 @@
 	s := r.seat
 	if s == nil || s.attempt != attempt {
 		r.mu.Unlock()
-		r.post(owner.Asked{Event: program.Failed{Sequence: a.Intent.GetSequence(), Attempt: attempt, NotRun: true, Reason: "the seat was lost"}})
+		r.post(owner.Asked{Event: program.AttemptFailed{Sequence: a.Intent.GetSequence(), Attempt: attempt, NotRun: true, Reason: "the seat was lost"}})
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), r.host.CallTimeout)
--- a/rockbarrow/host/run.go
+++ b/rockbarrow/host/run.go
@@ -233,7 +233,7 @@
 		return
 	}
 	var gone program.Machine
-	for _, act := range gone.Handle(time.Now(), program.Deposed{}) {
+	for _, act := range gone.Handle(time.Now(), program.OwnershipLost{}) {
 		r.do(nil, act)
 	}
 	for _, act := range gone.Handle(time.Now(), a.Event) {
--- a/rockbarrow/host/sending.go
+++ b/rockbarrow/host/sending.go
@@ -29,7 +29,7 @@
 	in := w.attempt.Intent
 	if reason := w.forbidden(); reason != "" {
 		w.seat.release()
-		w.post(program.Failed{Sequence: in.GetSequence(), Attempt: in.GetAttempt(), NotRun: true, Reason: reason})
+		w.post(program.AttemptFailed{Sequence: in.GetSequence(), Attempt: in.GetAttempt(), NotRun: true, Reason: reason})
 		return
 	}
 	w.run.host.Metrics.Counter("attempts").Inc(1)
@@ -39,7 +39,7 @@
 	if out.Answered == nil {
 		log.WithField("not_run", out.NotRun).WithField("reason", out.Reason).Info("an attempt failed")
 		w.run.host.Metrics.Counter("attempts_failed").Inc(1)
-		w.post(program.Failed{Sequence: in.GetSequence(), Attempt: in.GetAttempt(), NotRun: out.NotRun, Reason: out.Reason, Final: out.Final})
+		w.post(program.AttemptFailed{Sequence: in.GetSequence(), Attempt: in.GetAttempt(), NotRun: out.NotRun, Reason: out.Reason, Final: out.Final})
 		return
 	}
 	log.WithField("first_token_ms", out.First.Milliseconds()).Debug("an attempt was answered")
@@ -47,7 +47,7 @@
 	w.run.host.Metrics.Counter("prompt_tokens").Inc(int64(out.Answered.GetPromptTokens()))
 	w.run.host.Metrics.Counter("cached_tokens").Inc(int64(out.Answered.GetCachedTokens()))
 	w.run.host.Metrics.Timer("first_token").Record(out.First)
-	w.post(program.Finished{Sequence: in.GetSequence(), Attempt: in.GetAttempt(), Answered: out.Answered})
+	w.post(program.AttemptFinished{Sequence: in.GetSequence(), Attempt: in.GetAttempt(), Answered: out.Answered})
 }
 
 // forbidden checks the place once more right before sending, as the
@@ -71,7 +71,7 @@
 func (w *sending) emit(offset uint64, content string) {
 	w.seat.seat.RecordFirstToken()
 	in := w.attempt.Intent
-	w.post(program.Streamed{Sequence: in.GetSequence(), Attempt: in.GetAttempt(), Offset: offset, Content: content})
+	w.post(program.ChunkReceived{Sequence: in.GetSequence(), Attempt: in.GetAttempt(), Offset: offset, Content: content})
 }
 
 func (w *sending) post(e program.Event) { w.run.post(owner.Asked{Event: e}) }
@@ -122,13 +122,13 @@
 			return
 		}
 	}
-	c.run.post(owner.Asked{Event: program.Freed{Endpoint: c.endpoint}})
+	c.run.post(owner.Asked{Event: program.MemoryReleased{Endpoint: c.endpoint}})
 }
 
 // credit brings the rest of an ended run's budget to its parent.
 type credit struct {
 	run      *run
-	action   program.Return
+	action   program.ReturnBudget
 	customer string
 }
 
@@ -146,6 +146,6 @@
 		return nil
 	})
 	if credited {
-		c.run.post(owner.Asked{Event: program.Credited{}})
+		c.run.post(owner.Asked{Event: program.ParentCredited{}})
 	}
 }
--- a/rockbarrow/host/serve.go
+++ b/rockbarrow/host/serve.go
@@ -40,12 +40,12 @@
 	for {
 		events, done, err := s.next(ctx)
 		if err != nil {
-			r.post(owner.Asked{Event: program.Left{ID: id}})
+			r.post(owner.Asked{Event: program.CallerLeft{ID: id}})
 			return err
 		}
 		for _, e := range events {
 			if err := emit(e); err != nil {
-				r.post(owner.Asked{Event: program.Left{ID: id}})
+				r.post(owner.Asked{Event: program.CallerLeft{ID: id}})
 				return err
 			}
 		}
@@ -64,17 +64,17 @@
 func eventOf(id program.CallID, req *peerpb.DoRequest) program.Event {
 	switch b := req.GetBody().(type) {
 	case *peerpb.DoRequest_Create:
-		return program.Creating{ID: id, Created: b.Create.GetCreated()}
+		return program.CreateRequested{ID: id, Created: b.Create.GetCreated()}
 	case *peerpb.DoRequest_Turn:
-		return program.Called{ID: id, Customer: req.GetCustomer(), Turn: b.Turn}
+		return program.CallReceived{ID: id, Customer: req.GetCustomer(), Turn: b.Turn}
 	case *peerpb.DoRequest_End:
-		return program.Ending{ID: id, Customer: req.GetCustomer(), Reason: b.End.GetReason()}
+		return program.EndRequested{ID: id, Customer: req.GetCustomer(), Reason: b.End.GetReason()}
 	case *peerpb.DoRequest_Carve:
-		return program.Carving{ID: id, Customer: req.GetCustomer(), Child: b.Carve.GetChild(), Tokens: b.Carve.GetTokens()}
+		return program.AllocationRequested{ID: id, Customer: req.GetCustomer(), Child: b.Carve.GetChild(), Tokens: b.Carve.GetTokens()}
 	case *peerpb.DoRequest_Credit:
-		return program.Crediting{ID: id, Customer: req.GetCustomer(), Child: b.Credit.GetChild(), Tokens: b.Credit.GetTokens()}
+		return program.CreditRequested{ID: id, Customer: req.GetCustomer(), Child: b.Credit.GetChild(), Tokens: b.Credit.GetTokens()}
 	}
-	return program.Reading{ID: id, Customer: req.GetCustomer(), After: req.GetRead().GetAfter(), Limit: req.GetRead().GetLimit()}
+	return program.ViewRequested{ID: id, Customer: req.GetCustomer(), After: req.GetRead().GetAfter(), Limit: req.GetRead().GetLimit()}
 }
 
 // seize returns the run if this instance owns it or takes it now; otherwise
--- a/rockbarrow/matrix/client_test.go
+++ b/rockbarrow/matrix/client_test.go
@@ -76,13 +76,13 @@
 func (c *client) event(id program.CallID) program.Event {
 	switch {
 	case !c.created:
-		return program.Creating{ID: id, Created: &recordpb.Created{
+		return program.CreateRequested{ID: id, Created: &recordpb.Created{
 			Run: runID, Program: "p", Customer: "c", Binding: "b", Model: "m", BudgetTokens: budget, MaxCalls: 32, MaxAnswerTokens: maxAnswer,
 		}}
 	case c.sequence > calls:
-		return program.Ending{ID: id, Customer: "c", Reason: "asked"}
+		return program.EndRequested{ID: id, Customer: "c", Reason: "asked"}
 	}
-	return program.Called{ID: id, Customer: "c", Turn: &peerpb.Turn{
+	return program.CallReceived{ID: id, Customer: "c", Turn: &peerpb.Turn{
 		Sequence:   c.sequence,
 		RequestId:  c.requestID(),
 		Messages:   []*recordpb.Message{{Role: "user", Content: c.message()}},
@@ -104,7 +104,7 @@
 				to = m.Instance()
 			}
 		}
-		w.tell(n, program.Tell{ID: id, Event: &peerpb.DoEvent{Body: &peerpb.DoEvent_Redirect{Redirect: &peerpb.Redirect{Instance: to}}}, Done: true})
+		w.tell(n, program.Reply{ID: id, Event: &peerpb.DoEvent{Body: &peerpb.DoEvent_Redirect{Redirect: &peerpb.Redirect{Instance: to}}}, Done: true})
 		return
 	}
 	w.step(n, owner.Asked{Event: e})
@@ -113,7 +113,7 @@
 func (w *world) seize(n *node, e program.Event) bool {
 	v := n.table.View()
 	if n.replica == nil || n.replica.Log().LastIndex() == 0 {
-		_, create := e.(program.Creating)
+		_, create := e.(program.CreateRequested)
 		members := owner.Initial(v, runID, "home")
 		return create && members.Has(n.self()) && w.claim(n, true)
 	}
@@ -129,14 +129,14 @@
 }
 
 // tell carries an event to the client.
-func (w *world) tell(n *node, a program.Tell) {
+func (w *world) tell(n *node, a program.Reply) {
 	if a.Event.GetFinal() != nil {
 		w.reach(stepCommitted)
 	}
 	w.post(letter{from: n.name(), to: "client", act: func() { w.client.heard(a) }})
 }
 
-func (c *client) heard(a program.Tell) {
+func (c *client) heard(a program.Reply) {
 	if a.ID != c.waiting || !a.Done {
 		return
 	}
--- a/rockbarrow/matrix/world_test.go
+++ b/rockbarrow/matrix/world_test.go
@@ -350,13 +350,13 @@
 // do performs an action of the program.
 func (w *world) do(n *node, a program.Action) {
 	switch a := a.(type) {
-	case program.Tell:
+	case program.Reply:
 		w.tell(n, a)
 	case program.Place:
 		w.place(n, a)
 	case program.Dispatch:
 		w.dispatch(n, a)
-	case program.Release:
+	case program.ReleaseMemory:
 		w.release(n, a.Endpoint)
 	}
 }
--- a/rockbarrow/owner/owner.go
+++ b/rockbarrow/owner/owner.go
@@ -102,7 +102,7 @@
 // unproven is an answer that waits for a confirmation of the ownership.
 type unproven struct {
 	number uint64
-	tell   program.Tell
+	tell   program.Reply
 }
 
 // Serves reports whether the owner's journal serves.
@@ -170,7 +170,7 @@
 		return out
 	}
 	if blocked(o.writer.Members(), v, o.writer.Silent) && o.writer.Changing() {
-		out = append(out, o.do(now, o.Machine.Handle(now, program.Deposed{By: o.Self.Instance()}))...)
+		out = append(out, o.do(now, o.Machine.Handle(now, program.OwnershipLost{By: o.Self.Instance()}))...)
 		out = append(out, o.sendOn(o.Self.Instance())...)
 		return append(out, Abandoned{})
 	}
@@ -187,11 +187,11 @@
 	p := problem.Retry(problem.NotServing, "too few replicas of the run answer", time.Second)
 	var out []Action
 	for _, e := range o.early {
-		id, ok := program.AskedBy(e)
+		id, ok := program.CallerOf(e)
 		if !ok {
 			continue
 		}
-		out = append(out, Do{Action: program.Tell{ID: id, Event: problem.Event(p), Done: true}})
+		out = append(out, Do{Action: program.Reply{ID: id, Event: problem.Event(p), Done: true}})
 	}
 	o.early = nil
 	return out
@@ -210,7 +210,7 @@
 			out = append(out, o.prove(a.Number)...)
 		case journal.Deposed:
 			out = append(out, o.sendOn(a.By.Instance())...)
-			out = append(out, o.do(now, o.Machine.Handle(now, program.Deposed{By: a.By.Instance()}))...)
+			out = append(out, o.do(now, o.Machine.Handle(now, program.OwnershipLost{By: a.By.Instance()}))...)
 			out = append(out, o.release(now)...)
 			out = append(out, Deposed{By: a.By})
 		}
@@ -250,7 +250,7 @@
 func (o *Owner) do(now time.Time, actions []program.Action) []Action {
 	var out []Action
 	for _, a := range actions {
-		if t, ok := a.(program.Tell); ok && !o.writer.Deposed() && needsProof(t) {
+		if t, ok := a.(program.Reply); ok && !o.writer.Deposed() && needsProof(t) {
 			out = append(out, o.confirm(now, t)...)
 			continue
 		}
@@ -271,12 +271,12 @@
 
 // needsProof reports whether an answer would be false if another instance had
 // become the owner: that a request did not run, or what the run looks like.
-func needsProof(t program.Tell) bool {
+func needsProof(t program.Reply) bool {
 	return t.Event.GetProblem().GetNotRun() || t.Event.GetView() != nil
 }
 
 // confirm keeps an answer back until a majority has confirmed the ownership.
-func (o *Owner) confirm(now time.Time, t program.Tell) []Action {
+func (o *Owner) confirm(now time.Time, t program.Reply) []Action {
 	out := o.journal(now, journal.Confirm{})
 	o.unproven = append(o.unproven, unproven{number: o.writer.Asked(), tell: t})
 	return out
@@ -301,7 +301,7 @@
 	var out []Action
 	for _, u := range o.unproven {
 		e := &peerpb.DoEvent{Body: &peerpb.DoEvent_Redirect{Redirect: &peerpb.Redirect{Instance: instance}}}
-		out = append(out, Do{Action: program.Tell{ID: u.tell.ID, Event: e, Done: true}})
+		out = append(out, Do{Action: program.Reply{ID: u.tell.ID, Event: e, Done: true}})
 	}
 	o.unproven = nil
 	return out
--- a/rockbarrow/owner/records_test.go
+++ b/rockbarrow/owner/records_test.go
@@ -29,7 +29,7 @@
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		var s program.State
 		for _, r := range Records(raw) {
-			open := s.Open() != nil
+			open := s.OpenTurn() != nil
 			if err := s.Apply(r); err != nil {
 				continue
 			}
--- a/rockbarrow/program/attempt.go
+++ b/rockbarrow/program/attempt.go
@@ -62,7 +62,7 @@
 
 // unplaced ends a call that no endpoint can take. Before its first intent it
 // has left no trace; after it, a settling record has to commit first.
-func (m *Machine) unplaced(now time.Time, e Unplaced) []Action {
+func (m *Machine) unplaced(now time.Time, e PlacementFailed) []Action {
 	c := m.at(e.Sequence, e.Attempt, placing)
 	if c == nil {
 		return nil
@@ -107,7 +107,7 @@
 	return append(out, Dispatch{Intent: in, History: m.state.History(), ProposedAt: c.proposedAt})
 }
 
-func (m *Machine) streamed(e Streamed) []Action {
+func (m *Machine) streamed(e ChunkReceived) []Action {
 	c := m.at(e.Sequence, e.Attempt, sent)
 	if c == nil || e.Offset != uint64(len(c.buffer)) {
 		return nil
@@ -118,7 +118,7 @@
 
 // finished matches an answer by its attempt, never by its time. An answer of
 // an older attempt is dropped; its cost was charged when it was given up.
-func (m *Machine) finished(now time.Time, e Finished) []Action {
+func (m *Machine) finished(now time.Time, e AttemptFinished) []Action {
 	c := m.at(e.Sequence, e.Attempt, sent)
 	if c == nil {
 		return nil
@@ -127,7 +127,7 @@
 	return []Action{m.commit(now, &recordpb.Record{Body: &recordpb.Record_Answered{Answered: e.Answered}})}
 }
 
-func (m *Machine) failed(now time.Time, e Failed) []Action {
+func (m *Machine) failed(now time.Time, e AttemptFailed) []Action {
 	c := m.at(e.Sequence, e.Attempt, sent)
 	if c == nil {
 		return nil
@@ -153,7 +153,7 @@
 	if m.ending != "" || c.attempt >= or(m.MaxAttempts, DefaultMaxAttempts) {
 		return m.withdraw(now, c, p)
 	}
-	if c.charged+c.reserve > m.state.Left()+m.state.reserved {
+	if c.charged+c.reserve > m.state.Remaining()+m.state.reserved {
 		return m.withdraw(now, c, problem.New(problem.BudgetExhausted, reason))
 	}
 	return []Action{m.place(c)}
--- a/rockbarrow/program/call.go
+++ b/rockbarrow/program/call.go
@@ -85,7 +85,7 @@
 	return h.Sum(nil)
 }
 
-func (m *Machine) called(now time.Time, e Called) []Action {
+func (m *Machine) called(now time.Time, e CallReceived) []Action {
 	c := &call{turn: e.Turn, digest: BodyDigest(e.Turn), listeners: []CallID{e.ID}, arrived: now}
 	if out, done := m.resent(e, c); done {
 		return out
@@ -100,7 +100,7 @@
 }
 
 // resent answers a request id that is known.
-func (m *Machine) resent(e Called, c *call) ([]Action, bool) {
+func (m *Machine) resent(e CallReceived, c *call) ([]Action, bool) {
 	id := e.Turn.GetRequestId()
 	if o := m.pending(id); o != nil {
 		if !bytes.Equal(o.digest, c.digest) {
@@ -109,7 +109,7 @@
 		o.listeners = append(o.listeners, e.ID)
 		return m.catchUp(o, e), true
 	}
-	t := m.state.Find(id)
+	t := m.state.FindTurn(id)
 	if t == nil {
 		return nil, false
 	}
@@ -117,7 +117,7 @@
 		return refuse(e.ID, reused()), true
 	}
 	if t.state == Answered {
-		return []Action{Tell{ID: e.ID, Event: finalEvent(t.answered, true), Done: true}}, true
+		return []Action{Reply{ID: e.ID, Event: finalEvent(t.answered, true), Done: true}}, true
 	}
 	return refuse(e.ID, unknownProblem(t.why)), true
 }
@@ -140,7 +140,7 @@
 }
 
 // catchUp hands a joining caller the part of the stream that it lacks.
-func (m *Machine) catchUp(c *call, e Called) []Action {
+func (m *Machine) catchUp(c *call, e CallReceived) []Action {
 	if c.stage != sent || len(c.buffer) == 0 {
 		return nil
 	}
@@ -153,7 +153,7 @@
 			restart = true
 		}
 	}
-	return []Action{Tell{ID: e.ID, Event: deltaEvent(c.attempt, from, string(c.buffer[from:]), restart)}}
+	return []Action{Reply{ID: e.ID, Event: deltaEvent(c.attempt, from, string(c.buffer[from:]), restart)}}
 }
 
 func deltaEvent(attempt uint32, offset uint64, content string, restart bool) *peerpb.DoEvent {
@@ -173,14 +173,14 @@
 		}
 		c.turn = cloneTurn(c.turn)
 		c.turn.Messages = added
-		c.turn.Sequence = or(c.turn.GetSequence(), m.state.Next())
+		c.turn.Sequence = or(c.turn.GetSequence(), m.state.NextSequence())
 	}
 	seq := c.turn.GetSequence()
 	switch {
 	case seq == 0:
 		return problem.New(problem.BadRequest, "sequence: must be 1 or more")
-	case seq < m.state.Next():
-		return problem.New(problem.AlreadySettled, fmt.Sprintf("the next sequence is %d", m.state.Next()))
+	case seq < m.state.NextSequence():
+		return problem.New(problem.AlreadySettled, fmt.Sprintf("the next sequence is %d", m.state.NextSequence()))
 	case m.open != nil && seq == m.open.turn.GetSequence():
 		return problem.New(problem.SequenceConflict, "another request id holds the sequence")
 	case len(m.waiting) >= or(m.MaxWaiting, DefaultMaxWaiting):
@@ -234,7 +234,7 @@
 		return nil
 	}
 	c := m.waiting[0]
-	if c.turn.GetSequence() != m.state.Next() {
+	if c.turn.GetSequence() != m.state.NextSequence() {
 		return nil
 	}
 	m.waiting = m.waiting[1:]
@@ -262,8 +262,8 @@
 	if created.GetService() != "" {
 		c.reserve = 0
 	}
-	if c.charged+c.reserve > m.state.Left()+m.state.reserved {
-		detail := fmt.Sprintf("%d tokens are left, the call may cost %d", m.state.Left(), c.reserve)
+	if c.charged+c.reserve > m.state.Remaining()+m.state.reserved {
+		detail := fmt.Sprintf("%d tokens are left, the call may cost %d", m.state.Remaining(), c.reserve)
 		return problem.New(problem.BudgetExhausted, detail)
 	}
 	return nil
@@ -310,12 +310,12 @@
 		AnswerTokens: c.turn.GetMaxAnswerTokens(),
 		Repeatable:   c.turn.GetRepeatable(),
 		Avoid:        slices.Clone(c.avoid),
-		Attained:     m.state.spent,
+		SpentTokens:  m.state.spent,
 		History:      history,
 		EntryDomain:  c.turn.GetEntryDomain(),
 	}
 	if n := len(m.state.turns); n > 0 {
-		p.Last = m.state.turns[n-1].answered.GetEndpoint()
+		p.LastEndpoint = m.state.turns[n-1].answered.GetEndpoint()
 	}
 	return p
 }
@@ -324,7 +324,7 @@
 // call's own messages.
 func (m *Machine) historyFor(c *call) []*recordpb.Message {
 	history := m.state.History()
-	if m.state.Open() != nil {
+	if m.state.OpenTurn() != nil {
 		return history
 	}
 	return append(history, c.turn.GetMessages()...)
@@ -338,7 +338,7 @@
 			kept = append(kept, c)
 			continue
 		}
-		detail := fmt.Sprintf("the next sequence is %d", m.state.Next())
+		detail := fmt.Sprintf("the next sequence is %d", m.state.NextSequence())
 		out = append(out, m.tellAll(c, problem.Event(problem.New(problem.PredecessorMissing, detail)), true)...)
 	}
 	m.waiting = kept
@@ -357,7 +357,7 @@
 func (m *Machine) tellAll(c *call, e *peerpb.DoEvent, done bool) []Action {
 	out := make([]Action, 0, len(c.listeners))
 	for _, id := range c.listeners {
-		out = append(out, Tell{ID: id, Event: e, Done: done})
+		out = append(out, Reply{ID: id, Event: e, Done: done})
 	}
 	if done {
 		c.listeners = nil
--- a/rockbarrow/program/doc.go
+++ b/rockbarrow/program/doc.go
@@ -19,7 +19,7 @@
 // Nothing is sent before its intent has committed, and no final answer goes to
 // a caller before it has committed:
 //
-//	for _, a := range m.Handle(now, program.Called{ID: 1, Turn: turn}) {
+//	for _, a := range m.Handle(now, program.CallReceived{ID: 1, Turn: turn}) {
 //		switch a := a.(type) {
 //		case program.Commit:
 //			// propose a.Records to the journal, later hand in program.Recorded
--- a/rockbarrow/program/ending.go
+++ b/rockbarrow/program/ending.go
@@ -12,7 +12,7 @@
 	"rockbarrow.dev/schema/recordpb"
 )
 
-func (m *Machine) carving(now time.Time, e Carving) []Action {
+func (m *Machine) carving(now time.Time, e AllocationRequested) []Action {
 	s := &m.state
 	switch {
 	case s.slice(e.Child) != nil:
@@ -21,8 +21,8 @@
 		return refuse(e.ID, problem.New(problem.RunEnded, "the run ended"))
 	case s.created.GetDepth() >= s.created.GetMaxDepth():
 		return refuse(e.ID, problem.New(problem.CallsExhausted, fmt.Sprintf("sub-agents may nest %d deep", s.created.GetMaxDepth())))
-	case e.Tokens > s.Left():
-		return refuse(e.ID, problem.New(problem.BudgetExhausted, fmt.Sprintf("%d tokens are left, the child asks for %d", s.Left(), e.Tokens)))
+	case e.Tokens > s.Remaining():
+		return refuse(e.ID, problem.New(problem.BudgetExhausted, fmt.Sprintf("%d tokens are left, the child asks for %d", s.Remaining(), e.Tokens)))
 	}
 	again := slices.ContainsFunc(m.asked, func(a ask) bool { return a.carve && a.child == e.Child })
 	m.asked = append(m.asked, ask{id: e.ID, child: e.Child, carve: true})
@@ -33,7 +33,7 @@
 	return []Action{m.commit(now, &recordpb.Record{Body: &recordpb.Record_Carved{Carved: record}})}
 }
 
-func (m *Machine) crediting(now time.Time, e Crediting) []Action {
+func (m *Machine) crediting(now time.Time, e CreditRequested) []Action {
 	sl := m.state.slice(e.Child)
 	if sl == nil {
 		return refuse(e.ID, problem.New(problem.NotFound, "the run has no such child"))
@@ -80,7 +80,7 @@
 	return taken
 }
 
-func (m *Machine) endAskedBy(now time.Time, e Ending) []Action {
+func (m *Machine) endAskedBy(now time.Time, e EndRequested) []Action {
 	if m.state.ended != "" {
 		return []Action{m.tellView(e.ID, 0, 0)}
 	}
@@ -128,15 +128,15 @@
 	}
 	var out []Action
 	for _, endpoint := range s.held {
-		out = append(out, Release{Endpoint: endpoint})
+		out = append(out, ReleaseMemory{Endpoint: endpoint})
 	}
 	if parent := s.created.GetParent(); parent != "" && !s.credited {
-		out = append(out, Return{Parent: parent, Child: s.created.GetRun(), Tokens: s.Left()})
+		out = append(out, ReturnBudget{Parent: parent, Child: s.created.GetRun(), Tokens: s.Remaining()})
 	}
 	return out
 }
 
-func (m *Machine) freed(now time.Time, e Freed) []Action {
+func (m *Machine) freed(now time.Time, e MemoryReleased) []Action {
 	if m.state.ended == "" || !slices.Contains(m.state.held, e.Endpoint) {
 		return nil
 	}
--- a/rockbarrow/program/event.go
+++ b/rockbarrow/program/event.go
@@ -9,43 +9,46 @@
 	"rockbarrow.dev/schema/recordpb"
 )
 
-// CallID is the host's number for one waiting caller.
+// CallID identifies a caller that waits for a reply. The host assigns it.
 type CallID uint64
 
-// Event is what a [Machine] handles.
+// Event is an input of a [Machine].
 type Event interface{ event() }
 
-// Loaded says that the journal serves and all its records were handed in.
+// Loaded reports that the journal serves and that all its records were
+// delivered.
 type Loaded struct{}
 
-// Recorded hands in committed records, each once and in order.
+// Recorded delivers committed records, each once and in order.
 type Recorded struct{ Records []*recordpb.Record }
 
-// Creating asks to create the run, or to find it created.
-type Creating struct {
+// CreateRequested asks to create the run. It succeeds if the run already exists
+// with the same values.
+type CreateRequested struct {
 	ID      CallID
 	Created *recordpb.Created
 }
 
-// Called is a call that has arrived.
-type Called struct {
+// CallReceived delivers a call of the run.
+type CallReceived struct {
 	ID       CallID
 	Customer string
 	Turn     *peerpb.Turn
 }
 
-// Reading asks for a view: the turns after a sequence, at most Limit of them.
-type Reading struct {
+// ViewRequested asks for a view of the run with at most Limit turns after the
+// sequence After.
+type ViewRequested struct {
 	ID       CallID
 	Customer string
 	After    uint64
 	Limit    uint32
 }
 
-// Left says that a caller no longer listens; its call goes on.
-type Left struct{ ID CallID }
+// CallerLeft reports that a caller has disconnected. Its call continues.
+type CallerLeft struct{ ID CallID }
 
-// Placed answers a [Place].
+// Placed answers a [Place] with the chosen endpoint.
 type Placed struct {
 	Sequence      uint64
 	Attempt       uint32
@@ -53,119 +56,119 @@
 	Domain        string
 	Reason        string
 	ConfigVersion uint64
-	// Hold asks the engine to keep the prefix until the run ends.
+	// Hold asks the engine to keep the cached prefix until the run ends.
 	Hold bool
 }
 
-// Unplaced answers a [Place] that cannot be met.
-type Unplaced struct {
+// PlacementFailed answers a [Place] for which there is no endpoint.
+type PlacementFailed struct {
 	Sequence uint64
 	Attempt  uint32
 	Problem  *peerpb.Problem
 }
 
-// Streamed is a part of an answer; Offset counts bytes.
-type Streamed struct {
+// ChunkReceived delivers a part of an answer. Offset counts bytes.
+type ChunkReceived struct {
 	Sequence uint64
 	Attempt  uint32
 	Offset   uint64
 	Content  string
 }
 
-// Finished is the whole answer of an attempt.
-type Finished struct {
+// AttemptFinished delivers the complete answer of an attempt.
+type AttemptFinished struct {
 	Sequence uint64
 	Attempt  uint32
 	Answered *recordpb.Answered
 }
 
-// Failed says that an attempt came to nothing. NotRun is true only when the
+// AttemptFailed reports that an attempt failed. NotRun is true only if the
 // endpoint certainly did not run it and never will.
-type Failed struct {
+type AttemptFailed struct {
 	Sequence uint64
 	Attempt  uint32
 	NotRun   bool
 	Reason   string
-	// Final is true when another endpoint would refuse it too.
+	// Final is true if every other endpoint would refuse the call too.
 	Final bool
 }
 
-// Carving asks for a slice of the budget for a child run.
-type Carving struct {
+// AllocationRequested asks to allocate a part of the budget to a child run.
+type AllocationRequested struct {
 	ID       CallID
 	Customer string
 	Child    string
 	Tokens   uint64
 }
 
-// Crediting brings back what an ended child left.
-type Crediting struct {
+// CreditRequested returns the tokens that an ended child did not spend.
+type CreditRequested struct {
 	ID       CallID
 	Customer string
 	Child    string
 	Tokens   uint64
 }
 
-// Ending asks to end the run.
-type Ending struct {
+// EndRequested asks to end the run.
+type EndRequested struct {
 	ID       CallID
 	Customer string
 	Reason   string
 }
 
-// Freed says that an endpoint holds no memory for the run any more.
-type Freed struct{ Endpoint string }
+// MemoryReleased reports that an endpoint no longer holds memory for the run.
+type MemoryReleased struct{ Endpoint string }
 
-// Credited says that the parent has credited this run's rest.
-type Credited struct{}
+// ParentCredited reports that the parent has credited this run's unspent tokens.
+type ParentCredited struct{}
 
-// Ticked lets time pass.
+// Ticked is delivered periodically and triggers timeouts.
 type Ticked struct{}
 
-// Deposed says that another owner, named if known, writes the journal.
-type Deposed struct{ By string }
-
-func (Loaded) event()    {}
-func (Recorded) event()  {}
-func (Creating) event()  {}
-func (Called) event()    {}
-func (Left) event()      {}
-func (Reading) event()   {}
-func (Placed) event()    {}
-func (Unplaced) event()  {}
-func (Streamed) event()  {}
-func (Finished) event()  {}
-func (Failed) event()    {}
-func (Carving) event()   {}
-func (Crediting) event() {}
-func (Ending) event()    {}
-func (Freed) event()     {}
-func (Credited) event()  {}
-func (Ticked) event()    {}
-func (Deposed) event()   {}
-
-// Action is what a [Machine] wants done.
+// OwnershipLost reports that another owner, named if known, writes the journal.
+type OwnershipLost struct{ By string }
+
+func (Loaded) event()              {}
+func (Recorded) event()            {}
+func (CreateRequested) event()     {}
+func (CallReceived) event()        {}
+func (CallerLeft) event()          {}
+func (ViewRequested) event()       {}
+func (Placed) event()              {}
+func (PlacementFailed) event()     {}
+func (ChunkReceived) event()       {}
+func (AttemptFinished) event()     {}
+func (AttemptFailed) event()       {}
+func (AllocationRequested) event() {}
+func (CreditRequested) event()     {}
+func (EndRequested) event()        {}
+func (MemoryReleased) event()      {}
+func (ParentCredited) event()      {}
+func (Ticked) event()              {}
+func (OwnershipLost) event()       {}
+
+// Action is an output of a [Machine] for the host to perform.
 type Action interface{ action() }
 
 // Commit proposes records to the journal as one entry.
 type Commit struct{ Records []*recordpb.Record }
 
-// Place asks for an endpoint.
+// Place asks for an endpoint for an attempt.
 type Place struct {
 	Sequence     uint64
 	Attempt      uint32
 	PromptTokens uint64
 	AnswerTokens uint32
 	Repeatable   bool
-	// Avoid names endpoints that failed this call.
+	// Avoid names endpoints on which this call has failed.
 	Avoid []string
-	// Attained is what the run has spent so far, in tokens.
-	Attained uint64
-	// History is what the engine will be given.
+	// SpentTokens is what the run has spent so far.
+	SpentTokens uint64
+	// History is the prompt for the engine.
 	History []*recordpb.Message
-	// Last is the endpoint of the run's last answer, or "".
-	Last string
-	// EntryDomain is the failure domain that the caller's request came to.
+	// LastEndpoint is the endpoint of the run's last answer, or "".
+	LastEndpoint string
+	// EntryDomain is the failure domain that received the caller's request.
 	EntryDomain string
 }
 
@@ -173,8 +176,8 @@
 type Dispatch struct {
 	Intent  *recordpb.Intent
 	History []*recordpb.Message
-	// ProposedAt is when the intent was proposed; an adapter sends nothing when
-	// that is longer ago than the lease.
+	// ProposedAt is when the intent was proposed. An adapter does not send an
+	// attempt whose intent is older than the lease.
 	ProposedAt time.Time
 }
 
@@ -184,26 +187,28 @@
 	Attempt  uint32
 }
 
-// Tell hands an event to a waiting caller; Done is true for the last one.
-type Tell struct {
+// Reply sends an event to a waiting caller. Done is true for the last event.
+type Reply struct {
 	ID    CallID
 	Event *peerpb.DoEvent
 	Done  bool
 }
 
-// Release asks an endpoint to free the run's memory, until [Freed].
-type Release struct{ Endpoint string }
+// ReleaseMemory asks an endpoint to free the run's memory. It is repeated until
+// [MemoryReleased].
+type ReleaseMemory struct{ Endpoint string }
 
-// Return brings this run's rest to its parent, until [Credited].
-type Return struct {
+// ReturnBudget returns this run's unspent tokens to its parent. It is repeated
+// until [ParentCredited].
+type ReturnBudget struct {
 	Parent, Child string
 	Tokens        uint64
 }
 
-func (Commit) action()   {}
-func (Place) action()    {}
-func (Dispatch) action() {}
-func (Abort) action()    {}
-func (Tell) action()     {}
-func (Release) action()  {}
-func (Return) action()   {}
+func (Commit) action()        {}
+func (Place) action()         {}
+func (Dispatch) action()      {}
+func (Abort) action()         {}
+func (Reply) action()         {}
+func (ReleaseMemory) action() {}
+func (ReturnBudget) action()  {}
--- a/rockbarrow/program/machine.go
+++ b/rockbarrow/program/machine.go
@@ -73,8 +73,8 @@
 	return m.open != nil || len(m.waiting) > 0 || len(m.creators) > 0 || len(m.asked) > 0
 }
 
-// Holds reports whether the open call still wants the seat of an attempt.
-func (m *Machine) Holds(attempt uint32) bool {
+// UsesSlot reports whether the open call still uses the endpoint slot of an attempt.
+func (m *Machine) UsesSlot(attempt uint32) bool {
 	c := m.open
 	if c == nil {
 		return false
@@ -101,38 +101,38 @@
 		return m.load(now)
 	case Recorded:
 		return m.recorded(now, e.Records)
-	case Creating:
+	case CreateRequested:
 		return m.creating(now, e)
-	case Called:
+	case CallReceived:
 		return m.called(now, e)
-	case Left:
+	case CallerLeft:
 		m.left(e.ID)
 		return nil
-	case Reading:
+	case ViewRequested:
 		return []Action{m.tellView(e.ID, e.After, e.Limit)}
 	case Placed:
 		return m.placed(now, e)
-	case Unplaced:
+	case PlacementFailed:
 		return m.unplaced(now, e)
-	case Streamed:
+	case ChunkReceived:
 		return m.streamed(e)
-	case Finished:
+	case AttemptFinished:
 		return m.finished(now, e)
-	case Failed:
+	case AttemptFailed:
 		return m.failed(now, e)
-	case Carving:
+	case AllocationRequested:
 		return m.carving(now, e)
-	case Crediting:
+	case CreditRequested:
 		return m.crediting(now, e)
-	case Ending:
+	case EndRequested:
 		return m.endAskedBy(now, e)
-	case Freed:
+	case MemoryReleased:
 		return m.freed(now, e)
-	case Credited:
+	case ParentCredited:
 		return m.creditedByParent(now)
 	case Ticked:
 		return m.tick(now)
-	case Deposed:
+	case OwnershipLost:
 		return m.depose(e)
 	}
 	return nil
@@ -142,7 +142,7 @@
 func (m *Machine) load(now time.Time) []Action {
 	m.loaded = true
 	out := m.afterEnd()
-	t := m.state.Open()
+	t := m.state.OpenTurn()
 	if t == nil {
 		return out
 	}
@@ -210,7 +210,7 @@
 	return nil
 }
 
-func (m *Machine) creating(now time.Time, e Creating) []Action {
+func (m *Machine) creating(now time.Time, e CreateRequested) []Action {
 	if c := m.state.created; c != nil {
 		if c.GetProgram() != e.Created.GetProgram() || c.GetCustomer() != e.Created.GetCustomer() {
 			return refuse(e.ID, problem.New(problem.RequestReused, "the run was created with other values"))
@@ -235,7 +235,7 @@
 
 func (m *Machine) tellView(id CallID, after uint64, limit uint32) Action {
 	view := m.state.View(m.Instance, after, limit)
-	return Tell{ID: id, Event: &peerpb.DoEvent{Body: &peerpb.DoEvent_View{View: view}}, Done: true}
+	return Reply{ID: id, Event: &peerpb.DoEvent{Body: &peerpb.DoEvent_View{View: view}}, Done: true}
 }
 
 // strange reports whether a customer may not know of the run.
@@ -281,12 +281,12 @@
 
 // depose sends every waiting caller on to the next owner, where a resend under
 // the same request id finds what became of the call.
-func (m *Machine) depose(e Deposed) []Action {
+func (m *Machine) depose(e OwnershipLost) []Action {
 	m.deposed = true
 	redirect := &peerpb.DoEvent{Body: &peerpb.DoEvent_Redirect{Redirect: &peerpb.Redirect{Instance: e.By}}}
 	var out []Action
 	for _, id := range m.listeners() {
-		out = append(out, Tell{ID: id, Event: redirect, Done: true})
+		out = append(out, Reply{ID: id, Event: redirect, Done: true})
 	}
 	if c := m.open; c != nil && c.stage == sent {
 		out = append(out, Abort{Sequence: c.turn.GetSequence(), Attempt: c.attempt})
@@ -301,17 +301,17 @@
 
 // refuseAsDeposed answers callers that were late for the end of the ownership.
 func (m *Machine) refuseAsDeposed(e Event) []Action {
-	id, ok := AskedBy(e)
+	id, ok := CallerOf(e)
 	if !ok {
 		return nil
 	}
 	redirect := &peerpb.DoEvent{Body: &peerpb.DoEvent_Redirect{Redirect: &peerpb.Redirect{}}}
-	return []Action{Tell{ID: id, Event: redirect, Done: true}}
+	return []Action{Reply{ID: id, Event: redirect, Done: true}}
 }
 
-// AskedBy returns the caller that waits for an event's answer, if one does.
-func AskedBy(e Event) (CallID, bool) {
-	if c, ok := e.(Creating); ok {
+// CallerOf returns the caller that waits for a reply to an event, if there is one.
+func CallerOf(e Event) (CallID, bool) {
+	if c, ok := e.(CreateRequested); ok {
 		return c.ID, true
 	}
 	a, ok := askedBy(e)
@@ -327,15 +327,15 @@
 // askedBy returns who asks about a run that should exist.
 func askedBy(e Event) (asker, bool) {
 	switch e := e.(type) {
-	case Called:
+	case CallReceived:
 		return asker{e.ID, e.Customer}, true
-	case Reading:
+	case ViewRequested:
 		return asker{e.ID, e.Customer}, true
-	case Carving:
+	case AllocationRequested:
 		return asker{e.ID, e.Customer}, true
-	case Crediting:
+	case CreditRequested:
 		return asker{e.ID, e.Customer}, true
-	case Ending:
+	case EndRequested:
 		return asker{e.ID, e.Customer}, true
 	}
 	return asker{}, false
@@ -365,7 +365,7 @@
 }
 
 func refuse(id CallID, p *peerpb.Problem) []Action {
-	return []Action{Tell{ID: id, Event: problem.Event(p), Done: true}}
+	return []Action{Reply{ID: id, Event: problem.Event(p), Done: true}}
 }
 
 func finalEvent(a *recordpb.Answered, replayed bool) *peerpb.DoEvent {
--- a/rockbarrow/program/machine_test.go
+++ b/rockbarrow/program/machine_test.go
@@ -29,7 +29,7 @@
 	if change != nil {
 		change(c)
 	}
-	d.do(Creating{ID: 900, Created: c})
+	d.do(CreateRequested{ID: 900, Created: c})
 	return d
 }
 
@@ -47,7 +47,7 @@
 			}
 		case Dispatch:
 			d.sent = append(d.sent, a)
-		case Tell:
+		case Reply:
 			d.told[a.ID] = append(d.told[a.ID], a.Event)
 		default:
 			d.rest = append(d.rest, a)
@@ -59,19 +59,19 @@
 	return &peerpb.Turn{Sequence: seq, RequestId: id, Messages: []*recordpb.Message{{Role: "user", Content: text}}, Repeatable: true}
 }
 
-func (d *desk) call(id CallID, t *peerpb.Turn) { d.do(Called{ID: id, Customer: "c", Turn: t}) }
+func (d *desk) call(id CallID, t *peerpb.Turn) { d.do(CallReceived{ID: id, Customer: "c", Turn: t}) }
 
 // answer finishes the newest attempt.
 func (d *desk) answer(content string) {
 	in := d.sent[len(d.sent)-1].Intent
-	d.do(Finished{Sequence: in.GetSequence(), Attempt: in.GetAttempt(), Answered: &recordpb.Answered{
+	d.do(AttemptFinished{Sequence: in.GetSequence(), Attempt: in.GetAttempt(), Answered: &recordpb.Answered{
 		Sequence: in.GetSequence(), Attempt: in.GetAttempt(), Content: content, PromptTokens: 10, AnswerTokens: 5, Endpoint: "e",
 	}})
 }
 
 func (d *desk) failed(notRun bool) {
 	in := d.sent[len(d.sent)-1].Intent
-	d.do(Failed{Sequence: in.GetSequence(), Attempt: in.GetAttempt(), NotRun: notRun, Reason: "test"})
+	d.do(AttemptFailed{Sequence: in.GetSequence(), Attempt: in.GetAttempt(), NotRun: notRun, Reason: "test"})
 }
 
 // last returns the last event that a caller was told.
@@ -160,7 +160,7 @@
 func TestJoiningAStreamGoesOnAtTheOffset(t *testing.T) {
 	d := newDesk(t, nil)
 	d.call(1, turn(1, "a", "one"))
-	d.do(Streamed{Sequence: 1, Attempt: 1, Content: "hello world"})
+	d.do(ChunkReceived{Sequence: 1, Attempt: 1, Content: "hello world"})
 	again := turn(1, "a", "one")
 	again.ResumeAttempt, again.ResumeOffset = 1, 6
 	d.call(2, again)
@@ -204,7 +204,7 @@
 	if len(d.sent) != DefaultMaxAttempts {
 		t.Fatalf("%d attempts, want %d", len(d.sent), DefaultMaxAttempts)
 	}
-	if d.m.State().Spent() != 0 || d.m.State().Next() != 1 {
+	if d.m.State().Spent() != 0 || d.m.State().NextSequence() != 1 {
 		t.Fatal("a call that did not run left a trace")
 	}
 }
@@ -228,7 +228,7 @@
 	d.call(1, turn(1, "a", "one"))
 	late := d.sent[0].Intent
 	d.failed(false)
-	d.do(Finished{Sequence: 1, Attempt: late.GetAttempt(), Answered: &recordpb.Answered{Sequence: 1, Attempt: late.GetAttempt(), Content: "late"}})
+	d.do(AttemptFinished{Sequence: 1, Attempt: late.GetAttempt(), Answered: &recordpb.Answered{Sequence: 1, Attempt: late.GetAttempt(), Content: "late"}})
 	if len(d.told[1]) > 0 && d.last(1).GetFinal() != nil {
 		t.Fatal("an answer of a given-up attempt was told")
 	}
@@ -247,16 +247,16 @@
 
 func TestChildSliceComesBackOnce(t *testing.T) {
 	d := newDesk(t, nil)
-	d.do(Carving{ID: 1, Customer: "c", Child: "k", Tokens: 400})
-	d.do(Carving{ID: 2, Customer: "c", Child: "k", Tokens: 400})
-	if got := d.m.State().Left(); got != 600 {
+	d.do(AllocationRequested{ID: 1, Customer: "c", Child: "k", Tokens: 400})
+	d.do(AllocationRequested{ID: 2, Customer: "c", Child: "k", Tokens: 400})
+	if got := d.m.State().Remaining(); got != 600 {
 		t.Fatalf("%d left after the slice, want 600", got)
 	}
-	d.do(Carving{ID: 3, Customer: "c", Child: "l", Tokens: 601})
+	d.do(AllocationRequested{ID: 3, Customer: "c", Child: "l", Tokens: 601})
 	d.wantProblem(3, problem.BudgetExhausted, true)
-	d.do(Crediting{ID: 4, Customer: "c", Child: "k", Tokens: 300})
-	d.do(Crediting{ID: 5, Customer: "c", Child: "k", Tokens: 300})
-	if got := d.m.State().Left(); got != 900 {
+	d.do(CreditRequested{ID: 4, Customer: "c", Child: "k", Tokens: 300})
+	d.do(CreditRequested{ID: 5, Customer: "c", Child: "k", Tokens: 300})
+	if got := d.m.State().Remaining(); got != 900 {
 		t.Fatalf("%d left after the return, want 900", got)
 	}
 }
@@ -265,7 +265,7 @@
 	d := newDesk(t, func(c *recordpb.Created) { c.BudgetTokens = 100 })
 	d.place = false
 	d.call(1, turn(1, "a", "one"))
-	d.do(Carving{ID: 2, Customer: "c", Child: "k", Tokens: 60})
+	d.do(AllocationRequested{ID: 2, Customer: "c", Child: "k", Tokens: 60})
 	d.do(Placed{Sequence: 1, Attempt: 1, Endpoint: "e", Domain: "d"})
 	d.wantProblem(1, problem.BudgetExhausted, true)
 	if len(d.sent) != 0 {
@@ -275,22 +275,22 @@
 
 func TestChildReturnsUntilItsParentKnows(t *testing.T) {
 	d := newDesk(t, func(c *recordpb.Created) { c.Parent = "d.p"; c.Depth = 1 })
-	d.do(Carving{ID: 1, Customer: "c", Child: "k", Tokens: 1})
+	d.do(AllocationRequested{ID: 1, Customer: "c", Child: "k", Tokens: 1})
 	d.wantProblem(1, problem.CallsExhausted, true)
-	d.do(Ending{ID: 2, Customer: "c"})
+	d.do(EndRequested{ID: 2, Customer: "c"})
 	returns := 0
 	for range 12 {
 		d.do(Ticked{})
 	}
 	for _, a := range d.rest {
-		if r, ok := a.(Return); ok && r.Tokens == 1000 {
+		if r, ok := a.(ReturnBudget); ok && r.Tokens == 1000 {
 			returns++
 		}
 	}
 	if returns < 3 {
 		t.Fatalf("the rest was brought %d times before the parent answered, want 3 or more", returns)
 	}
-	d.do(Credited{})
+	d.do(ParentCredited{})
 	d.rest = nil
 	for range 12 {
 		d.do(Ticked{})
@@ -327,8 +327,8 @@
 	}
 	d.failed(false)
 	d.wantProblem(1, problem.EndpointFailed, false)
-	if d.m.State().Ended() != "wall_time" || d.m.State().Held() == nil {
-		t.Fatalf("ended %q holding %v, want wall_time with a release due", d.m.State().Ended(), d.m.State().Held())
+	if d.m.State().Ended() != "wall_time" || d.m.State().HeldEndpoints() == nil {
+		t.Fatalf("ended %q holding %v, want wall_time with a release due", d.m.State().Ended(), d.m.State().HeldEndpoints())
 	}
 }
 
@@ -336,15 +336,15 @@
 	d := newDesk(t, nil)
 	d.call(1, turn(1, "a", "one"))
 	d.answer("first")
-	d.do(Ending{ID: 2, Customer: "c"})
+	d.do(EndRequested{ID: 2, Customer: "c"})
 	d.do(Ticked{})
 	for range 8 {
 		d.do(Ticked{})
 	}
-	if len(d.rest) < 3 || d.rest[0] != (Release{Endpoint: "e"}) {
+	if len(d.rest) < 3 || d.rest[0] != (ReleaseMemory{Endpoint: "e"}) {
 		t.Fatalf("actions %v, want releases that repeat", d.rest)
 	}
-	d.do(Freed{Endpoint: "e"})
+	d.do(MemoryReleased{Endpoint: "e"})
 	d.rest = nil
 	for range 8 {
 		d.do(Ticked{})
@@ -356,11 +356,11 @@
 
 func TestStrangersSeeNothing(t *testing.T) {
 	d := newDesk(t, nil)
-	d.do(Called{ID: 1, Customer: "other", Turn: turn(1, "a", "one")})
+	d.do(CallReceived{ID: 1, Customer: "other", Turn: turn(1, "a", "one")})
 	d.wantProblem(1, problem.NotFound, true)
-	d.do(Reading{ID: 2, Customer: "other"})
+	d.do(ViewRequested{ID: 2, Customer: "other"})
 	d.wantProblem(2, problem.NotFound, true)
-	d.do(Ending{ID: 3, Customer: "other"})
+	d.do(EndRequested{ID: 3, Customer: "other"})
 	d.wantProblem(3, problem.NotFound, true)
 }
 
--- a/rockbarrow/program/state.go
+++ b/rockbarrow/program/state.go
@@ -15,8 +15,8 @@
 	Intended TurnState = iota
 	// Answered means that the whole answer is stored.
 	Answered
-	// Unknowable means that the call may have run and is never sent again.
-	Unknowable
+	// OutcomeUnknown means that the call may have run and is never sent again.
+	OutcomeUnknown
 )
 
 // String returns the state's name in own formats.
@@ -96,14 +96,14 @@
 // Ended returns why the run ended, or "".
 func (s *State) Ended() string { return s.ended }
 
-// MadeMS returns when the run was created, in milliseconds since 1970.
-func (s *State) MadeMS() int64 { return s.madeMS }
+// CreatedMS returns the creation time in milliseconds since 1970.
+func (s *State) CreatedMS() int64 { return s.madeMS }
 
-// Held returns the endpoints that may hold memory for the run.
-func (s *State) Held() []string { return s.held }
+// HeldEndpoints returns the endpoints that may hold memory for the run.
+func (s *State) HeldEndpoints() []string { return s.held }
 
-// Left returns the tokens that are neither spent nor reserved.
-func (s *State) Left() uint64 {
+// Remaining returns the tokens that are neither spent nor reserved.
+func (s *State) Remaining() uint64 {
 	used := s.spent + s.reserved
 	if s.created == nil || used >= s.created.GetBudgetTokens() {
 		return 0
@@ -111,8 +111,8 @@
 	return s.created.GetBudgetTokens() - used
 }
 
-// Next returns the sequence of the next call that is not settled.
-func (s *State) Next() uint64 {
+// NextSequence returns the sequence of the next call that is not settled.
+func (s *State) NextSequence() uint64 {
 	n := uint64(len(s.turns))
 	if n > 0 && s.turns[n-1].state == Intended {
 		return n
@@ -120,16 +120,16 @@
 	return n + 1
 }
 
-// Open returns the Intended turn, or nil.
-func (s *State) Open() *Turn {
+// OpenTurn returns the Intended turn, or nil.
+func (s *State) OpenTurn() *Turn {
 	if n := len(s.turns); n > 0 && s.turns[n-1].state == Intended {
 		return s.turns[n-1]
 	}
 	return nil
 }
 
-// Find returns the turn of a request id, or nil.
-func (s *State) Find(requestID string) *Turn {
+// FindTurn returns the turn of a request id, or nil.
+func (s *State) FindTurn(requestID string) *Turn {
 	for _, t := range s.turns {
 		if t.intent.GetRequestId() == requestID {
 			return t
@@ -199,11 +199,11 @@
 }
 
 func (s *State) applyIntent(r *recordpb.Record, in *recordpb.Intent) error {
-	open := s.Open()
+	open := s.OpenTurn()
 	switch {
 	case s.ended != "":
 		return &OrderError{Record: r, Reason: "the run has ended"}
-	case in.GetSequence() != s.Next():
+	case in.GetSequence() != s.NextSequence():
 		return &OrderError{Record: r, Reason: "the sequence is not the next"}
 	case open != nil && in.GetAttempt() <= open.intent.GetAttempt():
 		return &OrderError{Record: r, Reason: "the attempt is not newer"}
@@ -236,7 +236,7 @@
 }
 
 func (s *State) applyAnswered(r *recordpb.Record, a *recordpb.Answered) error {
-	open := s.Open()
+	open := s.OpenTurn()
 	if open == nil || open.intent.GetSequence() != a.GetSequence() || open.intent.GetAttempt() != a.GetAttempt() {
 		return &OrderError{Record: r, Reason: "no such attempt is open"}
 	}
@@ -250,7 +250,7 @@
 // applyUnknown spends the whole reserve. A repeatable call leaves its place in
 // the order, so that the caller may make it again.
 func (s *State) applyUnknown(r *recordpb.Record, u *recordpb.Unknown) error {
-	open := s.Open()
+	open := s.OpenTurn()
 	if open == nil || open.intent.GetSequence() != u.GetSequence() {
 		return &OrderError{Record: r, Reason: "no such call is open"}
 	}
@@ -260,14 +260,14 @@
 		s.dropOpen()
 		return nil
 	}
-	open.state = Unknowable
+	open.state = OutcomeUnknown
 	open.why = u.GetReason()
 	return nil
 }
 
 // applyCancelled frees the place of a call that certainly did not run.
 func (s *State) applyCancelled(r *recordpb.Record, c *recordpb.Cancelled) error {
-	open := s.Open()
+	open := s.OpenTurn()
 	if open == nil || open.intent.GetSequence() != c.GetSequence() {
 		return &OrderError{Record: r, Reason: "no such call is open"}
 	}
@@ -283,7 +283,7 @@
 }
 
 func (s *State) applyCarved(r *recordpb.Record, c *recordpb.Carved) error {
-	if s.ended != "" || c.GetTokens() > s.Left() {
+	if s.ended != "" || c.GetTokens() > s.Remaining() {
 		return &OrderError{Record: r, Reason: "the budget does not cover the slice"}
 	}
 	if s.slice(c.GetChild()) != nil {
@@ -308,7 +308,7 @@
 }
 
 func (s *State) applyEnded(r *recordpb.Record, e *recordpb.Ended) error {
-	if s.Open() != nil {
+	if s.OpenTurn() != nil {
 		return &OrderError{Record: r, Reason: "a call is under way"}
 	}
 	if s.ended == "" {
--- a/rockbarrow/program/view.go
+++ b/rockbarrow/program/view.go
@@ -14,7 +14,7 @@
 		Run:            c.GetRun(),
 		Program:        c.GetProgram(),
 		State:          s.phase(),
-		NextSequence:   s.Next(),
+		NextSequence:   s.NextSequence(),
 		BudgetTokens:   c.GetBudgetTokens(),
 		SpentTokens:    s.spent,
 		ReservedTokens: s.reserved,
@@ -35,7 +35,7 @@
 	switch {
 	case s.ended != "":
 		return "ended:" + s.ended
-	case s.Open() != nil:
+	case s.OpenTurn() != nil:
 		return "calling"
 	}
 	return "idle"
