--- a/rockbarrow/program/attempt.go
+++ b/rockbarrow/program/attempt.go
@@ -10,8 +10,9 @@
 	"rockbarrow.dev/schema/recordpb"
 )
 
-// at returns the open call if an event is about its newest attempt.
-func (m *Machine) at(sequence uint64, attempt uint32, want stage) *call {
+// findAttempt returns the open call if its newest attempt and its stage match, or
+// nil. While a call is placed, attempt is the number of the next attempt.
+func (m *Machine) findAttempt(sequence uint64, attempt uint32, want stage) *call {
 	c := m.open
 	if c == nil || c.turn.GetSequence() != sequence || c.stage != want {
 		return nil
@@ -26,18 +27,18 @@
 }
 
 func (m *Machine) placed(now time.Time, e Placed) []Action {
-	c := m.at(e.Sequence, e.Attempt, placing)
+	c := m.findAttempt(e.Sequence, e.Attempt, placing)
 	if c == nil {
 		return nil
 	}
 	if m.ending != "" {
-		return m.withdraw(now, c, problem.New(problem.RunEnded, "the run ended: "+m.ending))
+		return m.cancelCall(now, c, problem.New(problem.RunEnded, "the run ended: "+m.ending))
 	}
 	first := c.attempt == 0
 	c.attempt = e.Attempt
 	c.stage = proposing
 	c.proposedAt = now
-	c.buffer = nil
+	c.partialAnswer = nil
 	c.intent = &recordpb.Intent{
 		Sequence:        e.Sequence,
 		RequestId:       c.turn.GetRequestId(),
@@ -60,25 +61,26 @@
 	return []Action{m.commit(now, &recordpb.Record{Body: &recordpb.Record_Intent{Intent: c.intent}})}
 }
 
-// unplaced ends a call that no endpoint can take. Before its first intent it
-// has left no trace; after it, a settling record has to commit first.
-func (m *Machine) unplaced(now time.Time, e PlacementFailed) []Action {
-	c := m.at(e.Sequence, e.Attempt, placing)
+// placementFailed ends a call that no endpoint can accept.
+func (m *Machine) placementFailed(now time.Time, e PlacementFailed) []Action {
+	c := m.findAttempt(e.Sequence, e.Attempt, placing)
 	if c == nil {
 		return nil
 	}
-	return m.withdraw(now, c, e.Problem)
+	return m.cancelCall(now, c, e.Problem)
 }
 
-func (m *Machine) withdraw(now time.Time, c *call, p *peerpb.Problem) []Action {
+// cancelCall refuses a call that will not be sent. Without an earlier intent there
+// is nothing to settle in the journal; otherwise a settling record commits first.
+func (m *Machine) cancelCall(now time.Time, c *call, p *peerpb.Problem) []Action {
 	p = problem.Certain(p)
 	if c.attempt == 0 {
 		m.open = nil
-		out := m.tellAll(c, problem.Event(p), true)
-		return append(out, m.proceed(now)...)
+		out := m.notifyListeners(c, problem.Event(p), true)
+		return append(out, m.startNextOrEnd(now)...)
 	}
 	if c.charged > 0 {
-		return m.giveUp(now, c, p.GetDetail())
+		return m.settleUnknown(now, c, p.GetDetail())
 	}
 	c.stage = settling
 	c.refusal = p
@@ -86,14 +88,14 @@
 	return []Action{m.commit(now, &recordpb.Record{Body: &recordpb.Record_Cancelled{Cancelled: record}})}
 }
 
-// giveUp settles a call that may have run.
-func (m *Machine) giveUp(now time.Time, c *call, reason string) []Action {
+// settleUnknown settles a call that may have run.
+func (m *Machine) settleUnknown(now time.Time, c *call, reason string) []Action {
 	c.stage = settling
 	record := &recordpb.Unknown{Sequence: c.turn.GetSequence(), Attempt: c.attempt, Reason: reason}
 	return []Action{m.commit(now, &recordpb.Record{Body: &recordpb.Record_Unknown{Unknown: record}})}
 }
 
-// send follows the commit of an intent.
+// send dispatches the open call after its intent has committed.
 func (m *Machine) send(in *recordpb.Intent) []Action {
 	c := m.open
 	if c == nil || c.stage != proposing || c.attempt != in.GetAttempt() {
@@ -102,24 +104,24 @@
 	c.stage = sent
 	var out []Action
 	if c.attempt > 1 {
-		out = m.tellAll(c, deltaEvent(c.attempt, 0, "", true), false)
+		out = m.notifyListeners(c, deltaEvent(c.attempt, 0, "", true), false)
 	}
 	return append(out, Dispatch{Intent: in, History: m.state.History(), ProposedAt: c.proposedAt})
 }
 
-func (m *Machine) streamed(e ChunkReceived) []Action {
-	c := m.at(e.Sequence, e.Attempt, sent)
-	if c == nil || e.Offset != uint64(len(c.buffer)) {
+func (m *Machine) chunkReceived(e ChunkReceived) []Action {
+	c := m.findAttempt(e.Sequence, e.Attempt, sent)
+	if c == nil || e.Offset != uint64(len(c.partialAnswer)) {
 		return nil
 	}
-	c.buffer = append(c.buffer, e.Content...)
-	return m.tellAll(c, deltaEvent(e.Attempt, e.Offset, e.Content, false), false)
+	c.partialAnswer = append(c.partialAnswer, e.Content...)
+	return m.notifyListeners(c, deltaEvent(e.Attempt, e.Offset, e.Content, false), false)
 }
 
-// finished matches an answer by its attempt, never by its time. An answer of
-// an older attempt is dropped; its cost was charged when it was given up.
-func (m *Machine) finished(now time.Time, e AttemptFinished) []Action {
-	c := m.at(e.Sequence, e.Attempt, sent)
+// attemptFinished commits the answer of the newest attempt. The answer of an
+// older attempt is dropped; its cost was charged when the call was retried.
+func (m *Machine) attemptFinished(now time.Time, e AttemptFinished) []Action {
+	c := m.findAttempt(e.Sequence, e.Attempt, sent)
 	if c == nil {
 		return nil
 	}
@@ -127,22 +129,23 @@
 	return []Action{m.commit(now, &recordpb.Record{Body: &recordpb.Record_Answered{Answered: e.Answered}})}
 }
 
-func (m *Machine) failed(now time.Time, e AttemptFailed) []Action {
-	c := m.at(e.Sequence, e.Attempt, sent)
+func (m *Machine) attemptFailed(now time.Time, e AttemptFailed) []Action {
+	c := m.findAttempt(e.Sequence, e.Attempt, sent)
 	if c == nil {
 		return nil
 	}
 	if !e.NotRun && !c.turn.GetRepeatable() {
-		return m.giveUp(now, c, e.Reason)
+		return m.settleUnknown(now, c, e.Reason)
 	}
 	if e.Final && e.NotRun {
-		return m.withdraw(now, c, problem.New(problem.BadRequest, e.Reason))
+		return m.cancelCall(now, c, problem.New(problem.BadRequest, e.Reason))
 	}
-	return m.again(now, c, e.NotRun, e.Reason)
+	return m.retry(now, c, e.NotRun, e.Reason)
 }
 
-// again tries elsewhere. An attempt that may have run is charged in full.
-func (m *Machine) again(now time.Time, c *call, notRun bool, reason string) []Action {
+// retry places the call on another endpoint. An attempt that may have run is
+// charged in full.
+func (m *Machine) retry(now time.Time, c *call, notRun bool, reason string) []Action {
 	if !notRun {
 		c.charged += c.reserve
 	}
@@ -150,28 +153,29 @@
 		c.avoid = append(c.avoid, c.intent.GetEndpoint())
 	}
 	p := problem.Retry(problem.NoEndpoint, reason, time.Second)
-	if m.ending != "" || c.attempt >= or(m.MaxAttempts, DefaultMaxAttempts) {
-		return m.withdraw(now, c, p)
+	if m.ending != "" || c.attempt >= orDefault(m.MaxAttempts, DefaultMaxAttempts) {
+		return m.cancelCall(now, c, p)
 	}
 	if c.charged+c.reserve > m.state.Remaining()+m.state.reserved {
-		return m.withdraw(now, c, problem.New(problem.BudgetExhausted, reason))
+		return m.cancelCall(now, c, problem.New(problem.BudgetExhausted, reason))
 	}
 	return []Action{m.place(c)}
 }
 
-// settle tells the callers of the open call and lets the next one start.
+// settle replies to the callers of the open call and starts the next call.
 func (m *Machine) settle(now time.Time, e *peerpb.DoEvent) []Action {
 	c := m.open
 	if c == nil {
 		return nil
 	}
 	m.open = nil
-	out := m.tellAll(c, e, true)
-	return append(out, m.proceed(now)...)
+	out := m.notifyListeners(c, e, true)
+	return append(out, m.startNextOrEnd(now)...)
 }
 
-// proceed goes on after a call: to the end that was asked for, or to the next.
-func (m *Machine) proceed(now time.Time) []Action {
+// startNextOrEnd ends the run if its end was requested, and otherwise starts the
+// next call.
+func (m *Machine) startNextOrEnd(now time.Time) []Action {
 	if m.ending != "" {
 		return m.end(now, m.ending)
 	}
--- a/rockbarrow/program/call.go
+++ b/rockbarrow/program/call.go
@@ -15,6 +15,7 @@
 	"rockbarrow.dev/schema/recordpb"
 )
 
+// stage is the progress of a call that is not settled.
 type stage int
 
 const (
@@ -25,29 +26,29 @@
 	settling
 )
 
-// call is a call that the owner has not settled yet.
+// call is a call that is not settled.
 type call struct {
 	turn      *peerpb.Turn
 	digest    []byte
 	listeners []CallID
-	arrived   time.Time
+	arrivedAt time.Time
 	stage     stage
 	// attempt is the newest attempt; 0 before the first intent.
 	attempt uint32
-	// charged is the reserve of earlier attempts that may have run.
+	// charged is the sum of the reservations of earlier attempts that may have run.
 	charged uint64
 	reserve uint64
 	avoid   []string
-	// buffer is the answer of this attempt so far.
-	buffer     []byte
-	proposedAt time.Time
-	intent     *recordpb.Intent
-	// refusal is what the caller is told once the settling record commits.
+	// partialAnswer is what the newest attempt has streamed.
+	partialAnswer []byte
+	proposedAt    time.Time
+	intent        *recordpb.Intent
+	// refusal is the reply to the caller once the settling record has committed.
 	refusal *peerpb.Problem
 }
 
-// reopen makes a call of an intent that an earlier owner left.
-func reopen(t *Turn) *call {
+// restoreCall returns the call of an intent that an earlier owner did not settle.
+func restoreCall(t *Turn) *call {
 	in := t.intent
 	return &call{
 		turn: &peerpb.Turn{
@@ -67,7 +68,8 @@
 	}
 }
 
-// BodyDigest returns the digest of what a caller asks in a turn.
+// BodyDigest returns the digest of a turn's body. It distinguishes a resend from
+// another request under the same id.
 func BodyDigest(t *peerpb.Turn) []byte {
 	h := sha256.New()
 	put := func(s string) {
@@ -85,48 +87,49 @@
 	return h.Sum(nil)
 }
 
-func (m *Machine) called(now time.Time, e CallReceived) []Action {
-	c := &call{turn: e.Turn, digest: BodyDigest(e.Turn), listeners: []CallID{e.ID}, arrived: now}
-	if out, done := m.resent(e, c); done {
+func (m *Machine) callReceived(now time.Time, e CallReceived) []Action {
+	c := &call{turn: e.Turn, digest: BodyDigest(e.Turn), listeners: []CallID{e.ID}, arrivedAt: now}
+	if out, done := m.handleResend(e, c); done {
 		return out
 	}
 	if m.state.ended != "" || m.ending != "" {
-		return refuse(e.ID, problem.New(problem.RunEnded, "the run ended: "+or(m.state.ended, m.ending)))
+		return refuse(e.ID, problem.New(problem.RunEnded, "the run ended: "+orDefault(m.state.ended, m.ending)))
 	}
-	if p := m.position(c); p != nil {
+	if p := m.assignSequence(c); p != nil {
 		return refuse(e.ID, problem.Certain(p))
 	}
 	return m.enqueue(now, c)
 }
 
-// resent answers a request id that is known.
-func (m *Machine) resent(e CallReceived, c *call) ([]Action, bool) {
+// handleResend handles a call whose request id is known. It returns false if the
+// id is new.
+func (m *Machine) handleResend(e CallReceived, c *call) ([]Action, bool) {
 	id := e.Turn.GetRequestId()
 	if o := m.pending(id); o != nil {
 		if !bytes.Equal(o.digest, c.digest) {
-			return refuse(e.ID, reused()), true
+			return refuse(e.ID, requestReused()), true
 		}
 		o.listeners = append(o.listeners, e.ID)
-		return m.catchUp(o, e), true
+		return m.resumeStream(o, e), true
 	}
 	t := m.state.FindTurn(id)
 	if t == nil {
 		return nil, false
 	}
 	if !bytes.Equal(t.intent.GetBodyDigest(), c.digest) {
-		return refuse(e.ID, reused()), true
+		return refuse(e.ID, requestReused()), true
 	}
 	if t.state == Answered {
 		return []Action{Reply{ID: e.ID, Event: finalEvent(t.answered, true), Done: true}}, true
 	}
-	return refuse(e.ID, unknownProblem(t.why)), true
+	return refuse(e.ID, unknownProblem(t.failureReason)), true
 }
 
-func reused() *peerpb.Problem {
+func requestReused() *peerpb.Problem {
 	return problem.New(problem.RequestReused, "the request id came before with another body")
 }
 
-// pending returns the unsettled call of a request id, or nil.
+// pending returns the unsettled call with a request id, or nil.
 func (m *Machine) pending(requestID string) *call {
 	if m.open != nil && m.open.turn.GetRequestId() == requestID {
 		return m.open
@@ -139,21 +142,22 @@
 	return nil
 }
 
-// catchUp hands a joining caller the part of the stream that it lacks.
-func (m *Machine) catchUp(c *call, e CallReceived) []Action {
-	if c.stage != sent || len(c.buffer) == 0 {
+// resumeStream sends a caller that joins a call the part of the stream that it
+// lacks.
+func (m *Machine) resumeStream(c *call, e CallReceived) []Action {
+	if c.stage != sent || len(c.partialAnswer) == 0 {
 		return nil
 	}
 	from := uint64(0)
 	restart := false
 	if at := e.Turn.GetResumeAttempt(); at != 0 {
-		if at == c.attempt && e.Turn.GetResumeOffset() <= uint64(len(c.buffer)) {
+		if at == c.attempt && e.Turn.GetResumeOffset() <= uint64(len(c.partialAnswer)) {
 			from = e.Turn.GetResumeOffset()
 		} else {
 			restart = true
 		}
 	}
-	return []Action{Reply{ID: e.ID, Event: deltaEvent(c.attempt, from, string(c.buffer[from:]), restart)}}
+	return []Action{Reply{ID: e.ID, Event: deltaEvent(c.attempt, from, string(c.partialAnswer[from:]), restart)}}
 }
 
 func deltaEvent(attempt uint32, offset uint64, content string, restart bool) *peerpb.DoEvent {
@@ -161,19 +165,20 @@
 	return &peerpb.DoEvent{Body: &peerpb.DoEvent_Delta{Delta: d}}
 }
 
-// position finds the call's place in the order, or tells why it has none.
-func (m *Machine) position(c *call) *peerpb.Problem {
+// assignSequence checks the call's sequence, and sets it if the call carries the
+// whole history.
+func (m *Machine) assignSequence(c *call) *peerpb.Problem {
 	if c.turn.GetWholeHistory() {
 		if m.Busy() {
-			return problem.New(problem.SequenceConflict, "another call of the run is under way")
+			return problem.New(problem.SequenceConflict, "another call of the run is in progress")
 		}
-		added, ok := m.added(c.turn.GetMessages())
+		added, ok := m.newMessages(c.turn.GetMessages())
 		if !ok {
 			return problem.New(problem.HistoryMismatch, "the messages before the new ones differ from the stored history")
 		}
 		c.turn = cloneTurn(c.turn)
 		c.turn.Messages = added
-		c.turn.Sequence = or(c.turn.GetSequence(), m.state.NextSequence())
+		c.turn.Sequence = orDefault(c.turn.GetSequence(), m.state.NextSequence())
 	}
 	seq := c.turn.GetSequence()
 	switch {
@@ -183,7 +188,7 @@
 		return problem.New(problem.AlreadySettled, fmt.Sprintf("the next sequence is %d", m.state.NextSequence()))
 	case m.open != nil && seq == m.open.turn.GetSequence():
 		return problem.New(problem.SequenceConflict, "another request id holds the sequence")
-	case len(m.waiting) >= or(m.MaxWaiting, DefaultMaxWaiting):
+	case len(m.waiting) >= orDefault(m.MaxWaiting, DefaultMaxWaiting):
 		return problem.Retry(problem.Overloaded, "too many calls wait for their predecessors", time.Second)
 	}
 	for _, o := range m.waiting {
@@ -206,8 +211,9 @@
 	}
 }
 
-// added returns the messages after the stored history.
-func (m *Machine) added(sent []*recordpb.Message) ([]*recordpb.Message, bool) {
+// newMessages returns the messages that follow the stored history, or false if
+// the messages do not extend it.
+func (m *Machine) newMessages(sent []*recordpb.Message) ([]*recordpb.Message, bool) {
 	stored := m.state.History()
 	if len(sent) <= len(stored) {
 		return nil, false
@@ -228,7 +234,7 @@
 	return m.startNext(now)
 }
 
-// startNext starts the waiting call whose turn it is.
+// startNext starts the waiting call with the next sequence, if there is one.
 func (m *Machine) startNext(now time.Time) []Action {
 	if m.open != nil || !m.loaded || len(m.waiting) == 0 {
 		return nil
@@ -238,16 +244,16 @@
 		return nil
 	}
 	m.waiting = m.waiting[1:]
-	if p := m.affordable(c); p != nil {
-		out := m.tellAll(c, problem.Event(p), true)
+	if p := m.reserveBudget(c); p != nil {
+		out := m.notifyListeners(c, problem.Event(p), true)
 		return append(out, m.startNext(now)...)
 	}
 	m.open = c
 	return []Action{m.place(c)}
 }
 
-// affordable reserves the most that the call may cost.
-func (m *Machine) affordable(c *call) *peerpb.Problem {
+// reserveBudget reserves the most that the call may cost.
+func (m *Machine) reserveBudget(c *call) *peerpb.Problem {
 	created := m.state.created
 	if limit := created.GetMaxCalls(); limit > 0 && m.state.calls >= limit {
 		return problem.New(problem.CallsExhausted, fmt.Sprintf("the run may make %d calls", limit))
@@ -269,9 +275,9 @@
 	return nil
 }
 
-// promptTokens bounds the prompt: the true size up to the last answer, and an
-// estimate from above for that answer as a part of the next prompt and for what
-// came since. Engines refuse a longer prompt.
+// promptTokens returns an upper bound for the size of the prompt: the size that
+// the engine reported up to the last answer, plus an estimate for that answer and
+// all later messages. Engines refuse a longer prompt.
 func (m *Machine) promptTokens(c *call) uint64 {
 	tokens := uint64(0)
 	from := 0
@@ -290,8 +296,8 @@
 	return tokens + EstimateTokens(c.turn.GetMessages())
 }
 
-// EstimateTokens bounds the tokens of messages from above for usual text: one
-// for each three bytes and eight for each message.
+// EstimateTokens returns an upper bound for the tokens of messages of ordinary
+// text: one for every three bytes and eight for each message.
 func EstimateTokens(messages []*recordpb.Message) uint64 {
 	n := uint64(0)
 	for _, msg := range messages {
@@ -320,8 +326,8 @@
 	return p
 }
 
-// historyFor returns what the engine is given: all before the call, and the
-// call's own messages.
+// historyFor returns the prompt for the engine: all earlier messages and answers,
+// and the messages of the call.
 func (m *Machine) historyFor(c *call) []*recordpb.Message {
 	history := m.state.History()
 	if m.state.OpenTurn() != nil {
@@ -330,22 +336,22 @@
 	return append(history, c.turn.GetMessages()...)
 }
 
-func (m *Machine) expireWaiting(now time.Time) []Action {
+func (m *Machine) expireWaitingCalls(now time.Time) []Action {
 	var out []Action
 	kept := m.waiting[:0:0]
 	for _, c := range m.waiting {
-		if now.Sub(c.arrived) < or(m.MaxWait, DefaultMaxWait) {
+		if now.Sub(c.arrivedAt) < orDefault(m.MaxWait, DefaultMaxWait) {
 			kept = append(kept, c)
 			continue
 		}
 		detail := fmt.Sprintf("the next sequence is %d", m.state.NextSequence())
-		out = append(out, m.tellAll(c, problem.Event(problem.New(problem.PredecessorMissing, detail)), true)...)
+		out = append(out, m.notifyListeners(c, problem.Event(problem.New(problem.PredecessorMissing, detail)), true)...)
 	}
 	m.waiting = kept
 	return out
 }
 
-func (m *Machine) left(id CallID) {
+func (m *Machine) callerLeft(id CallID) {
 	for _, c := range append(slices.Clone(m.waiting), m.open) {
 		if c == nil {
 			continue
@@ -354,7 +360,7 @@
 	}
 }
 
-func (m *Machine) tellAll(c *call, e *peerpb.DoEvent, done bool) []Action {
+func (m *Machine) notifyListeners(c *call, e *peerpb.DoEvent, done bool) []Action {
 	out := make([]Action, 0, len(c.listeners))
 	for _, id := range c.listeners {
 		out = append(out, Reply{ID: id, Event: e, Done: done})
--- a/rockbarrow/program/ending.go
+++ b/rockbarrow/program/ending.go
@@ -12,11 +12,11 @@
 	"rockbarrow.dev/schema/recordpb"
 )
 
-func (m *Machine) carving(now time.Time, e AllocationRequested) []Action {
+func (m *Machine) allocationRequested(now time.Time, e AllocationRequested) []Action {
 	s := &m.state
 	switch {
-	case s.slice(e.Child) != nil:
-		return []Action{m.tellView(e.ID, 0, 0)}
+	case s.allocation(e.Child) != nil:
+		return []Action{m.replyView(e.ID, 0, 0)}
 	case s.ended != "" || m.ending != "":
 		return refuse(e.ID, problem.New(problem.RunEnded, "the run ended"))
 	case s.created.GetDepth() >= s.created.GetMaxDepth():
@@ -24,8 +24,8 @@
 	case e.Tokens > s.Remaining():
 		return refuse(e.ID, problem.New(problem.BudgetExhausted, fmt.Sprintf("%d tokens are left, the child asks for %d", s.Remaining(), e.Tokens)))
 	}
-	again := slices.ContainsFunc(m.asked, func(a ask) bool { return a.carve && a.child == e.Child })
-	m.asked = append(m.asked, ask{id: e.ID, child: e.Child, carve: true})
+	again := slices.ContainsFunc(m.budgetRequests, func(a budgetRequest) bool { return a.allocate && a.child == e.Child })
+	m.budgetRequests = append(m.budgetRequests, budgetRequest{id: e.ID, child: e.Child, allocate: true})
 	if again {
 		return nil
 	}
@@ -33,16 +33,16 @@
 	return []Action{m.commit(now, &recordpb.Record{Body: &recordpb.Record_Carved{Carved: record}})}
 }
 
-func (m *Machine) crediting(now time.Time, e CreditRequested) []Action {
-	sl := m.state.slice(e.Child)
+func (m *Machine) creditRequested(now time.Time, e CreditRequested) []Action {
+	sl := m.state.allocation(e.Child)
 	if sl == nil {
 		return refuse(e.ID, problem.New(problem.NotFound, "the run has no such child"))
 	}
 	if sl.returned {
-		return []Action{m.tellView(e.ID, 0, 0)}
+		return []Action{m.replyView(e.ID, 0, 0)}
 	}
-	again := slices.ContainsFunc(m.asked, func(a ask) bool { return !a.carve && a.child == e.Child })
-	m.asked = append(m.asked, ask{id: e.ID, child: e.Child})
+	again := slices.ContainsFunc(m.budgetRequests, func(a budgetRequest) bool { return !a.allocate && a.child == e.Child })
+	m.budgetRequests = append(m.budgetRequests, budgetRequest{id: e.ID, child: e.Child})
 	if again {
 		return nil
 	}
@@ -50,54 +50,55 @@
 	return []Action{m.commit(now, &recordpb.Record{Body: &recordpb.Record_Returned{Returned: record}})}
 }
 
-// tellAsked answers those who waited for a budget change to commit.
-func (m *Machine) tellAsked(child string, carve bool) []Action {
+// replyBudgetRequests replies to the callers that wait for a budget change to
+// commit.
+func (m *Machine) replyBudgetRequests(child string, carve bool) []Action {
 	var out []Action
-	for _, a := range m.takeAsked(child, carve) {
-		out = append(out, m.tellView(a.id, 0, 0))
+	for _, a := range m.takeBudgetRequests(child, carve) {
+		out = append(out, m.replyView(a.id, 0, 0))
 	}
 	return out
 }
 
-func (m *Machine) refuseAsked(child string, p *peerpb.Problem) []Action {
+func (m *Machine) refuseAllocations(child string, p *peerpb.Problem) []Action {
 	var out []Action
-	for _, a := range m.takeAsked(child, true) {
+	for _, a := range m.takeBudgetRequests(child, true) {
 		out = append(out, refuse(a.id, p)...)
 	}
 	return out
 }
 
-func (m *Machine) takeAsked(child string, carve bool) []ask {
-	var taken, kept []ask
-	for _, a := range m.asked {
-		if a.child == child && a.carve == carve {
+func (m *Machine) takeBudgetRequests(child string, carve bool) []budgetRequest {
+	var taken, kept []budgetRequest
+	for _, a := range m.budgetRequests {
+		if a.child == child && a.allocate == carve {
 			taken = append(taken, a)
 			continue
 		}
 		kept = append(kept, a)
 	}
-	m.asked = kept
+	m.budgetRequests = kept
 	return taken
 }
 
-func (m *Machine) endAskedBy(now time.Time, e EndRequested) []Action {
+func (m *Machine) endRequested(now time.Time, e EndRequested) []Action {
 	if m.state.ended != "" {
-		return []Action{m.tellView(e.ID, 0, 0)}
+		return []Action{m.replyView(e.ID, 0, 0)}
 	}
-	m.enders = append(m.enders, e.ID)
-	return m.end(now, or(e.Reason, "asked"))
+	m.endWaiters = append(m.endWaiters, e.ID)
+	return m.end(now, orDefault(e.Reason, "asked"))
 }
 
-// end ends the run now, or as soon as the call under way is settled.
+// end ends the run immediately, or as soon as the call in progress is settled.
 func (m *Machine) end(now time.Time, reason string) []Action {
-	if m.state.ended != "" || m.endAsked || !m.loaded {
+	if m.state.ended != "" || m.endProposed || !m.loaded {
 		return nil
 	}
 	asked := m.ending != ""
-	m.ending = or(m.ending, reason)
+	m.ending = orDefault(m.ending, reason)
 	var out []Action
 	for _, c := range m.waiting {
-		out = append(out, m.tellAll(c, problem.Event(problem.New(problem.RunEnded, "the run ended: "+m.ending)), true)...)
+		out = append(out, m.notifyListeners(c, problem.Event(problem.New(problem.RunEnded, "the run ended: "+m.ending)), true)...)
 	}
 	m.waiting = nil
 	if c := m.open; c != nil {
@@ -106,22 +107,23 @@
 		}
 		return out
 	}
-	m.endAsked = true
+	m.endProposed = true
 	record := &recordpb.Ended{Reason: m.ending}
 	return append(out, m.commit(now, &recordpb.Record{Body: &recordpb.Record_Ended{Ended: record}}))
 }
 
-func (m *Machine) tellEnded() []Action {
+func (m *Machine) replyEnded() []Action {
 	var out []Action
-	for _, id := range m.enders {
-		out = append(out, m.tellView(id, 0, 0))
+	for _, id := range m.endWaiters {
+		out = append(out, m.replyView(id, 0, 0))
 	}
-	m.enders = nil
-	return append(out, m.afterEnd()...)
+	m.endWaiters = nil
+	return append(out, m.releaseResources()...)
 }
 
-// afterEnd frees engine memory and gives the rest of the budget back.
-func (m *Machine) afterEnd() []Action {
+// releaseResources frees the engine memory of an ended run and returns its
+// unspent budget to the parent.
+func (m *Machine) releaseResources() []Action {
 	s := &m.state
 	if s.ended == "" {
 		return nil
@@ -136,7 +138,7 @@
 	return out
 }
 
-func (m *Machine) freed(now time.Time, e MemoryReleased) []Action {
+func (m *Machine) memoryReleased(now time.Time, e MemoryReleased) []Action {
 	if m.state.ended == "" || !slices.Contains(m.state.held, e.Endpoint) {
 		return nil
 	}
@@ -144,7 +146,7 @@
 	return []Action{m.commit(now, &recordpb.Record{Body: &recordpb.Record_Released{Released: record}})}
 }
 
-func (m *Machine) creditedByParent(now time.Time) []Action {
+func (m *Machine) parentCredited(now time.Time) []Action {
 	if m.state.ended == "" || m.state.credited {
 		return nil
 	}
--- a/rockbarrow/program/errors.go
+++ b/rockbarrow/program/errors.go
@@ -8,15 +8,15 @@
 	"rockbarrow.dev/schema/recordpb"
 )
 
-// OrderError says that a record cannot follow the records before it.
+// OrderError reports a record that is not valid after the records before it.
 type OrderError struct {
-	// Record is the refused record.
+	// Record is the rejected record.
 	Record *recordpb.Record
-	// Reason tells what it breaks.
+	// Reason is the violated condition.
 	Reason string
 }
 
-// Error describes the record by its kind.
+// Error returns the kind of the record and the reason.
 func (e *OrderError) Error() string {
-	return fmt.Sprintf("program: %T refused: %s", e.Record.GetBody(), e.Reason)
+	return fmt.Sprintf("program: %T rejected: %s", e.Record.GetBody(), e.Reason)
 }
--- a/rockbarrow/program/machine.go
+++ b/rockbarrow/program/machine.go
@@ -11,66 +11,67 @@
 )
 
 const (
-	// DefaultMaxWaiting bounds calls that wait for a predecessor.
+	// DefaultMaxWaiting is the maximum number of calls that wait for a predecessor.
 	DefaultMaxWaiting = 16
-	// DefaultMaxWait bounds how long they wait.
+	// DefaultMaxWait is the maximum time that a call waits for a predecessor.
 	DefaultMaxWait = 30 * time.Second
-	// DefaultMaxAttempts bounds how often one call is sent.
+	// DefaultMaxAttempts is the maximum number of attempts of one call.
 	DefaultMaxAttempts = 4
-	// commitWait is how long callers wait for an intent to commit.
-	commitWait = 5 * time.Second
+	// commitTimeout is how long callers wait for an intent to commit.
+	commitTimeout = 5 * time.Second
 )
 
-// AnyCustomer stands for operators, who may read all runs. No customer can have
-// this name.
+// AnyCustomer is the customer of requests by operators, who may access all runs.
+// It is not a valid name of a customer.
 const AnyCustomer = "*"
 
-// Machine is the owner's side of a run. Set the exported fields before the
-// first event; zero takes the defaults.
+// Machine is the state machine of a run at its owner. The exported fields are
+// set before the first event; a zero value selects the default.
 type Machine struct {
 	MaxWaiting  int
 	MaxWait     time.Duration
 	MaxAttempts uint32
-	// Instance is the owner's name, for views.
+	// Instance is the name of the owner, shown in views.
 	Instance string
 
 	state State
-	// loaded is false until the journal serves; nothing is decided before.
+	// loaded is true once the journal serves. No call starts before.
 	loaded bool
-	// deposed is final.
-	deposed bool
-	// open is the call at the next sequence, if it has been started.
+	// ownershipLost is never reset.
+	ownershipLost bool
+	// open is the started call at the next sequence, or nil.
 	open *call
-	// waiting are calls behind it, in order of sequence, each sequence once.
+	// waiting holds the calls that have not started, ordered by sequence, without
+	// duplicates.
 	waiting []*call
-	// ending is why the run is to end once the open call is settled.
+	// ending is the reason for the requested end of the run, or "".
 	ending string
-	// endAsked is true once an Ended record was proposed.
-	endAsked bool
-	// creators wait for the Created record to commit.
-	creators []CallID
-	enders   []CallID
-	asked    []ask
-	// repeat counts ticks so that releases repeat slowly.
-	repeat int
+	// endProposed is true once an Ended record was proposed.
+	endProposed bool
+	// createWaiters wait for the Created record to commit.
+	createWaiters  []CallID
+	endWaiters     []CallID
+	budgetRequests []budgetRequest
+	// ticksSinceEnd spaces the repeated releases of resources.
+	ticksSinceEnd int
 }
 
-// ask is a budget change that waits for its record to commit.
-type ask struct {
-	id    CallID
-	child string
-	carve bool
+// budgetRequest is a caller that waits for a budget change to commit.
+type budgetRequest struct {
+	id       CallID
+	child    string
+	allocate bool
 }
 
-// State returns the folded journal; the caller must not keep it over a Handle.
+// State returns the state of the run. It is valid until the next call of Handle.
 func (m *Machine) State() *State { return &m.state }
 
-// Loaded reports whether the machine has the whole journal and decides.
+// Loaded reports whether the machine has applied the whole journal.
 func (m *Machine) Loaded() bool { return m.loaded }
 
-// Busy reports whether a call is under way or waits.
+// Busy reports whether a call or another request is in progress or waiting.
 func (m *Machine) Busy() bool {
-	return m.open != nil || len(m.waiting) > 0 || len(m.creators) > 0 || len(m.asked) > 0
+	return m.open != nil || len(m.waiting) > 0 || len(m.createWaiters) > 0 || len(m.budgetRequests) > 0
 }
 
 // UsesSlot reports whether the open call still uses the endpoint slot of an attempt.
@@ -82,18 +83,19 @@
 	return c.stage == placing && c.attempt+1 == attempt || c.stage >= proposing && c.attempt == attempt
 }
 
-// Settled reports whether an ended run owes nothing to anyone.
+// Settled reports whether the run has ended, its resources are released and no
+// request is waiting.
 func (m *Machine) Settled() bool {
 	s := &m.state
 	return s.ended != "" && len(s.held) == 0 && (s.credited || s.created.GetParent() == "") && !m.Busy()
 }
 
-// Handle takes one event.
+// Handle processes one event and returns the resulting actions.
 func (m *Machine) Handle(now time.Time, e Event) []Action {
-	if m.deposed {
-		return m.refuseAsDeposed(e)
+	if m.ownershipLost {
+		return m.redirectLateCaller(e)
 	}
-	if a, ok := askedBy(e); ok && m.strange(a.customer) {
+	if a, ok := requesterOf(e); ok && m.forbids(a.customer) {
 		return refuse(a.id, problem.New(problem.NotFound, "there is no such run"))
 	}
 	switch e := e.(type) {
@@ -102,80 +104,80 @@
 	case Recorded:
 		return m.recorded(now, e.Records)
 	case CreateRequested:
-		return m.creating(now, e)
+		return m.createRequested(now, e)
 	case CallReceived:
-		return m.called(now, e)
+		return m.callReceived(now, e)
 	case CallerLeft:
-		m.left(e.ID)
+		m.callerLeft(e.ID)
 		return nil
 	case ViewRequested:
-		return []Action{m.tellView(e.ID, e.After, e.Limit)}
+		return []Action{m.replyView(e.ID, e.After, e.Limit)}
 	case Placed:
 		return m.placed(now, e)
 	case PlacementFailed:
-		return m.unplaced(now, e)
+		return m.placementFailed(now, e)
 	case ChunkReceived:
-		return m.streamed(e)
+		return m.chunkReceived(e)
 	case AttemptFinished:
-		return m.finished(now, e)
+		return m.attemptFinished(now, e)
 	case AttemptFailed:
-		return m.failed(now, e)
+		return m.attemptFailed(now, e)
 	case AllocationRequested:
-		return m.carving(now, e)
+		return m.allocationRequested(now, e)
 	case CreditRequested:
-		return m.crediting(now, e)
+		return m.creditRequested(now, e)
 	case EndRequested:
-		return m.endAskedBy(now, e)
+		return m.endRequested(now, e)
 	case MemoryReleased:
-		return m.freed(now, e)
+		return m.memoryReleased(now, e)
 	case ParentCredited:
-		return m.creditedByParent(now)
+		return m.parentCredited(now)
 	case Ticked:
 		return m.tick(now)
 	case OwnershipLost:
-		return m.depose(e)
+		return m.loseOwnership(e)
 	}
 	return nil
 }
 
-// load settles what an earlier owner left open.
+// load settles or retries the call that an earlier owner left open.
 func (m *Machine) load(now time.Time) []Action {
 	m.loaded = true
-	out := m.afterEnd()
+	out := m.releaseResources()
 	t := m.state.OpenTurn()
 	if t == nil {
 		return out
 	}
-	m.open = reopen(t)
+	m.open = restoreCall(t)
 	if !t.intent.GetRepeatable() {
-		return append(out, m.giveUp(now, m.open, "the owner was lost after the call may have been sent")...)
+		return append(out, m.settleUnknown(now, m.open, "the owner was lost after the call may have been sent")...)
 	}
-	return append(out, m.again(now, m.open, false, "the owner was lost")...)
+	return append(out, m.retry(now, m.open, false, "the owner was lost")...)
 }
 
 func (m *Machine) recorded(now time.Time, records []*recordpb.Record) []Action {
 	var out []Action
 	for _, r := range records {
 		if err := m.state.Apply(r); err != nil {
-			// Every replica skips it alike: two proposals that each fitted the budget
-			// may not fit together.
+			// Two proposals that each fit the budget may exceed it together. Every
+			// replica then skips the second one.
 			if m.loaded {
-				out = append(out, m.skipped(now, r, err)...)
+				out = append(out, m.recordSkipped(now, r, err)...)
 			}
 			continue
 		}
 		if m.loaded {
-			out = append(out, m.applied(now, r)...)
+			out = append(out, m.recordApplied(now, r)...)
 		}
 	}
 	return out
 }
 
-// applied acts on a record that this owner proposed.
-func (m *Machine) applied(now time.Time, r *recordpb.Record) []Action {
+// recordApplied acts on a committed record that this owner proposed.
+func (m *Machine) recordApplied(now time.Time, r *recordpb.Record) []Action {
 	switch b := r.GetBody().(type) {
 	case *recordpb.Record_Created:
-		return m.tellCreated()
+		return m.replyCreated()
 	case *recordpb.Record_Intent:
 		return m.send(b.Intent)
 	case *recordpb.Record_Answered:
@@ -185,17 +187,17 @@
 	case *recordpb.Record_Cancelled:
 		return m.settle(now, m.cancelledEvent(b.Cancelled))
 	case *recordpb.Record_Carved:
-		return m.tellAsked(b.Carved.GetChild(), true)
+		return m.replyBudgetRequests(b.Carved.GetChild(), true)
 	case *recordpb.Record_Returned:
-		return m.tellAsked(b.Returned.GetChild(), false)
+		return m.replyBudgetRequests(b.Returned.GetChild(), false)
 	case *recordpb.Record_Ended:
-		return m.tellEnded()
+		return m.replyEnded()
 	}
 	return nil
 }
 
-// skipped answers those who waited for a record that came too late.
-func (m *Machine) skipped(now time.Time, r *recordpb.Record, err error) []Action {
+// recordSkipped replies to the callers that wait for a record that was rejected.
+func (m *Machine) recordSkipped(now time.Time, r *recordpb.Record, err error) []Action {
 	switch b := r.GetBody().(type) {
 	case *recordpb.Record_Intent:
 		c := m.open
@@ -203,43 +205,43 @@
 			return nil
 		}
 		c.attempt--
-		return m.withdraw(now, c, problem.New(problem.BudgetExhausted, err.Error()))
+		return m.cancelCall(now, c, problem.New(problem.BudgetExhausted, err.Error()))
 	case *recordpb.Record_Carved:
-		return m.refuseAsked(b.Carved.GetChild(), problem.New(problem.BudgetExhausted, err.Error()))
+		return m.refuseAllocations(b.Carved.GetChild(), problem.New(problem.BudgetExhausted, err.Error()))
 	}
 	return nil
 }
 
-func (m *Machine) creating(now time.Time, e CreateRequested) []Action {
+func (m *Machine) createRequested(now time.Time, e CreateRequested) []Action {
 	if c := m.state.created; c != nil {
 		if c.GetProgram() != e.Created.GetProgram() || c.GetCustomer() != e.Created.GetCustomer() {
 			return refuse(e.ID, problem.New(problem.RequestReused, "the run was created with other values"))
 		}
-		return []Action{m.tellView(e.ID, 0, 0)}
+		return []Action{m.replyView(e.ID, 0, 0)}
 	}
-	m.creators = append(m.creators, e.ID)
-	if len(m.creators) > 1 {
+	m.createWaiters = append(m.createWaiters, e.ID)
+	if len(m.createWaiters) > 1 {
 		return nil
 	}
 	return []Action{m.commit(now, &recordpb.Record{Body: &recordpb.Record_Created{Created: e.Created}})}
 }
 
-func (m *Machine) tellCreated() []Action {
+func (m *Machine) replyCreated() []Action {
 	var out []Action
-	for _, id := range m.creators {
-		out = append(out, m.tellView(id, 0, 0))
+	for _, id := range m.createWaiters {
+		out = append(out, m.replyView(id, 0, 0))
 	}
-	m.creators = nil
+	m.createWaiters = nil
 	return out
 }
 
-func (m *Machine) tellView(id CallID, after uint64, limit uint32) Action {
+func (m *Machine) replyView(id CallID, after uint64, limit uint32) Action {
 	view := m.state.View(m.Instance, after, limit)
 	return Reply{ID: id, Event: &peerpb.DoEvent{Body: &peerpb.DoEvent_View{View: view}}, Done: true}
 }
 
-// strange reports whether a customer may not know of the run.
-func (m *Machine) strange(customer string) bool {
+// forbids reports whether a customer has no access to the run.
+func (m *Machine) forbids(customer string) bool {
 	if m.state.created == nil {
 		return true
 	}
@@ -247,42 +249,42 @@
 }
 
 func (m *Machine) tick(now time.Time) []Action {
-	out := append(m.expireWaiting(now), m.undetermined(now)...)
+	out := append(m.expireWaitingCalls(now), m.expireProposal(now)...)
 	if m.state.created == nil || !m.loaded {
 		return out
 	}
 	if m.state.ended != "" {
-		m.repeat++
-		if m.repeat%4 == 0 {
-			out = append(out, m.afterEnd()...)
+		m.ticksSinceEnd++
+		if m.ticksSinceEnd%4 == 0 {
+			out = append(out, m.releaseResources()...)
 		}
 		return out
 	}
 	c := m.state.created
 	switch {
-	case c.GetWallMs() > 0 && now.UnixMilli()-m.state.madeMS > c.GetWallMs():
+	case c.GetWallMs() > 0 && now.UnixMilli()-m.state.createdMS > c.GetWallMs():
 		out = append(out, m.end(now, "wall_time")...)
-	case c.GetIdleMs() > 0 && !m.Busy() && now.UnixMilli()-m.state.activeMS > c.GetIdleMs():
+	case c.GetIdleMs() > 0 && !m.Busy() && now.UnixMilli()-m.state.lastActiveMS > c.GetIdleMs():
 		out = append(out, m.end(now, "idle")...)
 	}
 	return out
 }
 
-// undetermined tells callers of an intent that finds no majority to come back;
-// the call stays, as the intent may still commit.
-func (m *Machine) undetermined(now time.Time) []Action {
+// expireProposal tells the callers to retry if the intent of the open call does
+// not commit in time. The call stays open, as the intent may still commit.
+func (m *Machine) expireProposal(now time.Time) []Action {
 	c := m.open
-	if c == nil || c.stage != proposing || now.Sub(c.proposedAt) < commitWait {
+	if c == nil || c.stage != proposing || now.Sub(c.proposedAt) < commitTimeout {
 		return nil
 	}
 	p := problem.Retry(problem.Undetermined, "too few replicas of the run answer; resend under the same request id", time.Second)
-	return m.tellAll(c, problem.Event(p), true)
+	return m.notifyListeners(c, problem.Event(p), true)
 }
 
-// depose sends every waiting caller on to the next owner, where a resend under
-// the same request id finds what became of the call.
-func (m *Machine) depose(e OwnershipLost) []Action {
-	m.deposed = true
+// loseOwnership redirects every waiting caller to the next owner, where a resend
+// under the same request id returns the outcome of the call.
+func (m *Machine) loseOwnership(e OwnershipLost) []Action {
+	m.ownershipLost = true
 	redirect := &peerpb.DoEvent{Body: &peerpb.DoEvent_Redirect{Redirect: &peerpb.Redirect{Instance: e.By}}}
 	var out []Action
 	for _, id := range m.listeners() {
@@ -293,14 +295,15 @@
 	}
 	m.open = nil
 	m.waiting = nil
-	m.creators = nil
-	m.enders = nil
-	m.asked = nil
+	m.createWaiters = nil
+	m.endWaiters = nil
+	m.budgetRequests = nil
 	return out
 }
 
-// refuseAsDeposed answers callers that were late for the end of the ownership.
-func (m *Machine) refuseAsDeposed(e Event) []Action {
+// redirectLateCaller redirects a caller whose event arrives after the loss of the
+// ownership.
+func (m *Machine) redirectLateCaller(e Event) []Action {
 	id, ok := CallerOf(e)
 	if !ok {
 		return nil
@@ -314,31 +317,31 @@
 	if c, ok := e.(CreateRequested); ok {
 		return c.ID, true
 	}
-	a, ok := askedBy(e)
+	a, ok := requesterOf(e)
 	return a.id, ok
 }
 
-// asker is who waits for an event's answer.
-type asker struct {
+// requester is the caller that waits for a reply to an event, and its customer.
+type requester struct {
 	id       CallID
 	customer string
 }
 
-// askedBy returns who asks about a run that should exist.
-func askedBy(e Event) (asker, bool) {
+// requesterOf returns the requester of an event that requires an existing run.
+func requesterOf(e Event) (requester, bool) {
 	switch e := e.(type) {
 	case CallReceived:
-		return asker{e.ID, e.Customer}, true
+		return requester{e.ID, e.Customer}, true
 	case ViewRequested:
-		return asker{e.ID, e.Customer}, true
+		return requester{e.ID, e.Customer}, true
 	case AllocationRequested:
-		return asker{e.ID, e.Customer}, true
+		return requester{e.ID, e.Customer}, true
 	case CreditRequested:
-		return asker{e.ID, e.Customer}, true
+		return requester{e.ID, e.Customer}, true
 	case EndRequested:
-		return asker{e.ID, e.Customer}, true
+		return requester{e.ID, e.Customer}, true
 	}
-	return asker{}, false
+	return requester{}, false
 }
 
 func (m *Machine) listeners() []CallID {
@@ -349,9 +352,9 @@
 	for _, c := range m.waiting {
 		out = append(out, c.listeners...)
 	}
-	out = append(out, m.creators...)
-	out = append(out, m.enders...)
-	for _, a := range m.asked {
+	out = append(out, m.createWaiters...)
+	out = append(out, m.endWaiters...)
+	for _, a := range m.budgetRequests {
 		out = append(out, a.id)
 	}
 	return out
@@ -372,7 +375,7 @@
 	return &peerpb.DoEvent{Body: &peerpb.DoEvent_Final{Final: &peerpb.Final{Answered: a, Replayed: replayed}}}
 }
 
-func or[T comparable](v, fallback T) T {
+func orDefault[T comparable](v, fallback T) T {
 	var zero T
 	if v == zero {
 		return fallback
--- a/rockbarrow/program/machine_test.go
+++ b/rockbarrow/program/machine_test.go
@@ -11,361 +11,364 @@
 	"rockbarrow.dev/schema/recordpb"
 )
 
-// desk keeps what a machine did; commits are applied at once.
-type desk struct {
-	t     *testing.T
-	m     Machine
-	now   time.Time
-	sent  []Dispatch
-	told  map[CallID][]*peerpb.DoEvent
-	rest  []Action
-	place bool
+// harness drives a machine and records its actions. Commits are applied at once.
+type harness struct {
+	t            *testing.T
+	m            Machine
+	now          time.Time
+	sent         []Dispatch
+	events       map[CallID][]*peerpb.DoEvent
+	otherActions []Action
+	autoPlace    bool
 }
 
-func newDesk(t *testing.T, change func(*recordpb.Created)) *desk {
-	d := &desk{t: t, now: time.Unix(1000, 0), told: map[CallID][]*peerpb.DoEvent{}, place: true}
-	d.do(Loaded{})
+func newHarness(t *testing.T, change func(*recordpb.Created)) *harness {
+	h := &harness{t: t, now: time.Unix(1000, 0), events: map[CallID][]*peerpb.DoEvent{}, autoPlace: true}
+	h.handle(Loaded{})
 	c := &recordpb.Created{Run: "d.r", Program: "p", Customer: "c", BudgetTokens: 1000, MaxCalls: 10, MaxAnswerTokens: 50, MaxDepth: 1}
 	if change != nil {
 		change(c)
 	}
-	d.do(CreateRequested{ID: 900, Created: c})
-	return d
+	h.handle(CreateRequested{ID: 900, Created: c})
+	return h
 }
 
-func (d *desk) do(e Event) {
-	actions := d.m.Handle(d.now, e)
+func (h *harness) handle(e Event) {
+	actions := h.m.Handle(h.now, e)
 	for len(actions) > 0 {
 		a := actions[0]
 		actions = actions[1:]
 		switch a := a.(type) {
 		case Commit:
-			actions = append(actions, d.m.Handle(d.now, Recorded(a))...)
+			actions = append(actions, h.m.Handle(h.now, Recorded(a))...)
 		case Place:
-			if d.place {
-				actions = append(actions, d.m.Handle(d.now, Placed{Sequence: a.Sequence, Attempt: a.Attempt, Endpoint: "e", Domain: "d", Hold: true})...)
+			if h.autoPlace {
+				actions = append(actions, h.m.Handle(h.now, Placed{Sequence: a.Sequence, Attempt: a.Attempt, Endpoint: "e", Domain: "d", Hold: true})...)
 			}
 		case Dispatch:
-			d.sent = append(d.sent, a)
+			h.sent = append(h.sent, a)
 		case Reply:
-			d.told[a.ID] = append(d.told[a.ID], a.Event)
+			h.events[a.ID] = append(h.events[a.ID], a.Event)
 		default:
-			d.rest = append(d.rest, a)
+			h.otherActions = append(h.otherActions, a)
 		}
 	}
 }
 
-func turn(seq uint64, id, text string) *peerpb.Turn {
+func newTurn(seq uint64, id, text string) *peerpb.Turn {
 	return &peerpb.Turn{Sequence: seq, RequestId: id, Messages: []*recordpb.Message{{Role: "user", Content: text}}, Repeatable: true}
 }
 
-func (d *desk) call(id CallID, t *peerpb.Turn) { d.do(CallReceived{ID: id, Customer: "c", Turn: t}) }
+func (h *harness) call(id CallID, t *peerpb.Turn) {
+	h.handle(CallReceived{ID: id, Customer: "c", Turn: t})
+}
 
 // answer finishes the newest attempt.
-func (d *desk) answer(content string) {
-	in := d.sent[len(d.sent)-1].Intent
-	d.do(AttemptFinished{Sequence: in.GetSequence(), Attempt: in.GetAttempt(), Answered: &recordpb.Answered{
+func (h *harness) answer(content string) {
+	in := h.sent[len(h.sent)-1].Intent
+	h.handle(AttemptFinished{Sequence: in.GetSequence(), Attempt: in.GetAttempt(), Answered: &recordpb.Answered{
 		Sequence: in.GetSequence(), Attempt: in.GetAttempt(), Content: content, PromptTokens: 10, AnswerTokens: 5, Endpoint: "e",
 	}})
 }
 
-func (d *desk) failed(notRun bool) {
-	in := d.sent[len(d.sent)-1].Intent
-	d.do(AttemptFailed{Sequence: in.GetSequence(), Attempt: in.GetAttempt(), NotRun: notRun, Reason: "test"})
+// fail makes the newest attempt fail.
+func (h *harness) fail(notRun bool) {
+	in := h.sent[len(h.sent)-1].Intent
+	h.handle(AttemptFailed{Sequence: in.GetSequence(), Attempt: in.GetAttempt(), NotRun: notRun, Reason: "test"})
 }
 
-// last returns the last event that a caller was told.
-func (d *desk) last(id CallID) *peerpb.DoEvent {
-	d.t.Helper()
-	if len(d.told[id]) == 0 {
-		d.t.Fatalf("caller %d was told nothing", id)
+// lastEvent returns the last event that a caller received.
+func (h *harness) lastEvent(id CallID) *peerpb.DoEvent {
+	h.t.Helper()
+	if len(h.events[id]) == 0 {
+		h.t.Fatalf("caller %d received no event", id)
 	}
-	return d.told[id][len(d.told[id])-1]
+	return h.events[id][len(h.events[id])-1]
 }
 
-func (d *desk) wantProblem(id CallID, want problem.Type, notRun bool) {
-	d.t.Helper()
-	p := d.last(id).GetProblem()
+func (h *harness) wantProblem(id CallID, want problem.Type, notRun bool) {
+	h.t.Helper()
+	p := h.lastEvent(id).GetProblem()
 	if p.GetType() != string(want) || p.GetNotRun() != notRun {
-		d.t.Fatalf("caller %d was told %v, want %s with not_run %v", id, d.last(id), want, notRun)
+		h.t.Fatalf("caller %d received %v, want %s with not_run %v", id, h.lastEvent(id), want, notRun)
 	}
 }
 
-func (d *desk) wantAnswer(id CallID, want string) {
-	d.t.Helper()
-	if got := d.last(id).GetFinal().GetAnswered().GetContent(); got != want {
-		d.t.Fatalf("caller %d was told %v, want the answer %q", id, d.last(id), want)
+func (h *harness) wantAnswer(id CallID, want string) {
+	h.t.Helper()
+	if got := h.lastEvent(id).GetFinal().GetAnswered().GetContent(); got != want {
+		h.t.Fatalf("caller %d received %v, want the answer %q", id, h.lastEvent(id), want)
 	}
 }
 
-func TestCallsRunInTheirOrder(t *testing.T) {
-	d := newDesk(t, nil)
-	d.call(2, turn(2, "b", "two"))
-	if len(d.sent) != 0 {
-		t.Fatal("the second call was sent before the first came")
+func TestCallsRunInSequence(t *testing.T) {
+	h := newHarness(t, nil)
+	h.call(2, newTurn(2, "b", "two"))
+	if len(h.sent) != 0 {
+		t.Fatal("the second call was sent before the first arrived")
 	}
-	d.call(1, turn(1, "a", "one"))
-	if len(d.sent) != 1 || d.sent[0].Intent.GetSequence() != 1 {
-		t.Fatalf("sent %v, want call 1 alone", d.sent)
+	h.call(1, newTurn(1, "a", "one"))
+	if len(h.sent) != 1 || h.sent[0].Intent.GetSequence() != 1 {
+		t.Fatalf("sent %v, want only call 1", h.sent)
 	}
-	d.answer("first")
-	if len(d.sent) != 2 || len(d.sent[1].History) != 3 {
-		t.Fatalf("%d sent, want call 2 with the history of call 1", len(d.sent))
+	h.answer("first")
+	if len(h.sent) != 2 || len(h.sent[1].History) != 3 {
+		t.Fatalf("%d sent, want call 2 with the history of call 1", len(h.sent))
 	}
-	d.answer("second")
-	d.wantAnswer(1, "first")
-	d.wantAnswer(2, "second")
+	h.answer("second")
+	h.wantAnswer(1, "first")
+	h.wantAnswer(2, "second")
 }
 
-func TestWaitingIsBounded(t *testing.T) {
-	d := newDesk(t, nil)
+func TestWaitingCallsAreLimited(t *testing.T) {
+	h := newHarness(t, nil)
 	for i := range CallID(DefaultMaxWaiting) {
-		d.call(i+1, turn(uint64(i)+2, string(rune('a'+i)), "x"))
+		h.call(i+1, newTurn(uint64(i)+2, string(rune('a'+i)), "x"))
 	}
-	d.call(99, turn(50, "z", "x"))
-	d.wantProblem(99, problem.Overloaded, true)
-	d.now = d.now.Add(DefaultMaxWait)
-	d.do(Ticked{})
-	d.wantProblem(1, problem.PredecessorMissing, true)
+	h.call(99, newTurn(50, "z", "x"))
+	h.wantProblem(99, problem.Overloaded, true)
+	h.now = h.now.Add(DefaultMaxWait)
+	h.handle(Ticked{})
+	h.wantProblem(1, problem.PredecessorMissing, true)
 }
 
-func TestResendsGetTheStoredAnswer(t *testing.T) {
-	d := newDesk(t, nil)
-	d.call(1, turn(1, "a", "one"))
-	d.answer("first")
-	d.call(2, turn(1, "a", "one"))
-	d.wantAnswer(2, "first")
-	if !d.last(2).GetFinal().GetReplayed() {
+func TestResendReturnsStoredAnswer(t *testing.T) {
+	h := newHarness(t, nil)
+	h.call(1, newTurn(1, "a", "one"))
+	h.answer("first")
+	h.call(2, newTurn(1, "a", "one"))
+	h.wantAnswer(2, "first")
+	if !h.lastEvent(2).GetFinal().GetReplayed() {
 		t.Fatal("the resend's answer is not marked as replayed")
 	}
-	d.call(3, turn(1, "a", "another body"))
-	d.wantProblem(3, problem.RequestReused, true)
-	d.call(4, turn(1, "b", "one"))
-	d.wantProblem(4, problem.AlreadySettled, true)
-	if len(d.sent) != 1 {
-		t.Fatalf("%d attempts, want 1", len(d.sent))
+	h.call(3, newTurn(1, "a", "another body"))
+	h.wantProblem(3, problem.RequestReused, true)
+	h.call(4, newTurn(1, "b", "one"))
+	h.wantProblem(4, problem.AlreadySettled, true)
+	if len(h.sent) != 1 {
+		t.Fatalf("%d attempts, want 1", len(h.sent))
 	}
 }
 
-func TestOneSequenceHasOneRequest(t *testing.T) {
-	d := newDesk(t, nil)
-	d.call(1, turn(1, "a", "one"))
-	d.call(2, turn(1, "b", "one"))
-	d.wantProblem(2, problem.SequenceConflict, true)
-	d.call(3, turn(2, "c", "two"))
-	d.call(4, turn(2, "d", "two"))
-	d.wantProblem(4, problem.SequenceConflict, true)
+func TestSequenceConflict(t *testing.T) {
+	h := newHarness(t, nil)
+	h.call(1, newTurn(1, "a", "one"))
+	h.call(2, newTurn(1, "b", "one"))
+	h.wantProblem(2, problem.SequenceConflict, true)
+	h.call(3, newTurn(2, "c", "two"))
+	h.call(4, newTurn(2, "d", "two"))
+	h.wantProblem(4, problem.SequenceConflict, true)
 }
 
-func TestJoiningAStreamGoesOnAtTheOffset(t *testing.T) {
-	d := newDesk(t, nil)
-	d.call(1, turn(1, "a", "one"))
-	d.do(ChunkReceived{Sequence: 1, Attempt: 1, Content: "hello world"})
-	again := turn(1, "a", "one")
+func TestJoinedStreamResumesAtOffset(t *testing.T) {
+	h := newHarness(t, nil)
+	h.call(1, newTurn(1, "a", "one"))
+	h.handle(ChunkReceived{Sequence: 1, Attempt: 1, Content: "hello world"})
+	again := newTurn(1, "a", "one")
 	again.ResumeAttempt, again.ResumeOffset = 1, 6
-	d.call(2, again)
-	if got := d.last(2).GetDelta(); got.GetOffset() != 6 || got.GetContent() != "world" || got.GetRestart() {
+	h.call(2, again)
+	if got := h.lastEvent(2).GetDelta(); got.GetOffset() != 6 || got.GetContent() != "world" || got.GetRestart() {
 		t.Fatalf("joined with %v, want world at 6", got)
 	}
-	other := turn(1, "a", "one")
+	other := newTurn(1, "a", "one")
 	other.ResumeAttempt, other.ResumeOffset = 7, 3
-	d.call(3, other)
-	if got := d.last(3).GetDelta(); !got.GetRestart() || got.GetOffset() != 0 {
+	h.call(3, other)
+	if got := h.lastEvent(3).GetDelta(); !got.GetRestart() || got.GetOffset() != 0 {
 		t.Fatalf("joined another attempt with %v, want a restart from 0", got)
 	}
 }
 
-func TestUnrepeatableBecomesUnknownAndIsNeverSentAgain(t *testing.T) {
-	d := newDesk(t, nil)
-	c := turn(1, "a", "book")
+func TestUnrepeatableCallIsNotRetried(t *testing.T) {
+	h := newHarness(t, nil)
+	c := newTurn(1, "a", "book")
 	c.Repeatable = false
-	d.call(1, c)
-	d.failed(false)
-	d.wantProblem(1, problem.OutcomeUnknown, false)
-	d.call(2, c)
-	d.wantProblem(2, problem.OutcomeUnknown, false)
-	if len(d.sent) != 1 {
-		t.Fatalf("%d attempts, want 1", len(d.sent))
+	h.call(1, c)
+	h.fail(false)
+	h.wantProblem(1, problem.OutcomeUnknown, false)
+	h.call(2, c)
+	h.wantProblem(2, problem.OutcomeUnknown, false)
+	if len(h.sent) != 1 {
+		t.Fatalf("%d attempts, want 1", len(h.sent))
 	}
-	if d.m.State().Spent() == 0 {
-		t.Fatal("the reserve of a call that may have run was given back")
+	if h.m.State().Spent() == 0 {
+		t.Fatal("the reservation of a call that may have run was released")
 	}
 }
 
-func TestNotRunIsTriedElsewhereAndThenRefusedTruly(t *testing.T) {
-	d := newDesk(t, nil)
-	c := turn(1, "a", "book")
+func TestNotRunCallIsRetriedThenRefused(t *testing.T) {
+	h := newHarness(t, nil)
+	c := newTurn(1, "a", "book")
 	c.Repeatable = false
-	d.call(1, c)
+	h.call(1, c)
 	for range DefaultMaxAttempts {
-		d.failed(true)
+		h.fail(true)
 	}
-	d.wantProblem(1, problem.NoEndpoint, true)
-	if len(d.sent) != DefaultMaxAttempts {
-		t.Fatalf("%d attempts, want %d", len(d.sent), DefaultMaxAttempts)
+	h.wantProblem(1, problem.NoEndpoint, true)
+	if len(h.sent) != DefaultMaxAttempts {
+		t.Fatalf("%d attempts, want %d", len(h.sent), DefaultMaxAttempts)
 	}
-	if d.m.State().Spent() != 0 || d.m.State().NextSequence() != 1 {
-		t.Fatal("a call that did not run left a trace")
+	if h.m.State().Spent() != 0 || h.m.State().NextSequence() != 1 {
+		t.Fatal("a call that did not run changed the state")
 	}
 }
 
-func TestAnAttemptThatMayHaveRunIsCharged(t *testing.T) {
-	d := newDesk(t, func(c *recordpb.Created) { c.BudgetTokens = 150 })
-	d.call(1, turn(1, "a", "one"))
-	reserve := d.sent[0].Intent.GetReserveTokens()
-	d.failed(false)
-	d.failed(false)
-	d.wantProblem(1, problem.EndpointFailed, false)
-	if got := d.m.State().Spent(); got != 2*reserve {
-		t.Fatalf("spent %d, want twice the reserve of %d", got, reserve)
-	}
-	d.call(2, turn(1, "b", "one"))
-	d.wantProblem(2, problem.BudgetExhausted, true)
+func TestAttemptThatMayHaveRunIsCharged(t *testing.T) {
+	h := newHarness(t, func(c *recordpb.Created) { c.BudgetTokens = 150 })
+	h.call(1, newTurn(1, "a", "one"))
+	reserve := h.sent[0].Intent.GetReserveTokens()
+	h.fail(false)
+	h.fail(false)
+	h.wantProblem(1, problem.EndpointFailed, false)
+	if got := h.m.State().Spent(); got != 2*reserve {
+		t.Fatalf("spent %d, want twice the reservation of %d", got, reserve)
+	}
+	h.call(2, newTurn(1, "b", "one"))
+	h.wantProblem(2, problem.BudgetExhausted, true)
 }
 
 func TestLateAnswerIsDropped(t *testing.T) {
-	d := newDesk(t, nil)
-	d.call(1, turn(1, "a", "one"))
-	late := d.sent[0].Intent
-	d.failed(false)
-	d.do(AttemptFinished{Sequence: 1, Attempt: late.GetAttempt(), Answered: &recordpb.Answered{Sequence: 1, Attempt: late.GetAttempt(), Content: "late"}})
-	if len(d.told[1]) > 0 && d.last(1).GetFinal() != nil {
-		t.Fatal("an answer of a given-up attempt was told")
-	}
-	d.answer("right")
-	d.wantAnswer(1, "right")
+	h := newHarness(t, nil)
+	h.call(1, newTurn(1, "a", "one"))
+	late := h.sent[0].Intent
+	h.fail(false)
+	h.handle(AttemptFinished{Sequence: 1, Attempt: late.GetAttempt(), Answered: &recordpb.Answered{Sequence: 1, Attempt: late.GetAttempt(), Content: "late"}})
+	if len(h.events[1]) > 0 && h.lastEvent(1).GetFinal() != nil {
+		t.Fatal("the caller received the answer of an older attempt")
+	}
+	h.answer("right")
+	h.wantAnswer(1, "right")
 }
 
 func TestBudgetIsReservedBeforeSending(t *testing.T) {
-	d := newDesk(t, func(c *recordpb.Created) { c.BudgetTokens = 40 })
-	d.call(1, turn(1, "a", "one"))
-	d.wantProblem(1, problem.BudgetExhausted, true)
-	if len(d.sent) != 0 {
+	h := newHarness(t, func(c *recordpb.Created) { c.BudgetTokens = 40 })
+	h.call(1, newTurn(1, "a", "one"))
+	h.wantProblem(1, problem.BudgetExhausted, true)
+	if len(h.sent) != 0 {
 		t.Fatal("a call was sent that the budget does not cover")
 	}
 }
 
-func TestChildSliceComesBackOnce(t *testing.T) {
-	d := newDesk(t, nil)
-	d.do(AllocationRequested{ID: 1, Customer: "c", Child: "k", Tokens: 400})
-	d.do(AllocationRequested{ID: 2, Customer: "c", Child: "k", Tokens: 400})
-	if got := d.m.State().Remaining(); got != 600 {
-		t.Fatalf("%d left after the slice, want 600", got)
+func TestChildAllocationIsCreditedOnce(t *testing.T) {
+	h := newHarness(t, nil)
+	h.handle(AllocationRequested{ID: 1, Customer: "c", Child: "k", Tokens: 400})
+	h.handle(AllocationRequested{ID: 2, Customer: "c", Child: "k", Tokens: 400})
+	if got := h.m.State().Remaining(); got != 600 {
+		t.Fatalf("%d tokens remain after the allocation, want 600", got)
 	}
-	d.do(AllocationRequested{ID: 3, Customer: "c", Child: "l", Tokens: 601})
-	d.wantProblem(3, problem.BudgetExhausted, true)
-	d.do(CreditRequested{ID: 4, Customer: "c", Child: "k", Tokens: 300})
-	d.do(CreditRequested{ID: 5, Customer: "c", Child: "k", Tokens: 300})
-	if got := d.m.State().Remaining(); got != 900 {
-		t.Fatalf("%d left after the return, want 900", got)
+	h.handle(AllocationRequested{ID: 3, Customer: "c", Child: "l", Tokens: 601})
+	h.wantProblem(3, problem.BudgetExhausted, true)
+	h.handle(CreditRequested{ID: 4, Customer: "c", Child: "k", Tokens: 300})
+	h.handle(CreditRequested{ID: 5, Customer: "c", Child: "k", Tokens: 300})
+	if got := h.m.State().Remaining(); got != 900 {
+		t.Fatalf("%d tokens remain after the credit, want 900", got)
 	}
 }
 
-func TestTwoProposalsThatTogetherExceedTheBudget(t *testing.T) {
-	d := newDesk(t, func(c *recordpb.Created) { c.BudgetTokens = 100 })
-	d.place = false
-	d.call(1, turn(1, "a", "one"))
-	d.do(AllocationRequested{ID: 2, Customer: "c", Child: "k", Tokens: 60})
-	d.do(Placed{Sequence: 1, Attempt: 1, Endpoint: "e", Domain: "d"})
-	d.wantProblem(1, problem.BudgetExhausted, true)
-	if len(d.sent) != 0 {
-		t.Fatal("the call was sent although the slice had taken its tokens")
+func TestConcurrentProposalsExceedBudget(t *testing.T) {
+	h := newHarness(t, func(c *recordpb.Created) { c.BudgetTokens = 100 })
+	h.autoPlace = false
+	h.call(1, newTurn(1, "a", "one"))
+	h.handle(AllocationRequested{ID: 2, Customer: "c", Child: "k", Tokens: 60})
+	h.handle(Placed{Sequence: 1, Attempt: 1, Endpoint: "e", Domain: "d"})
+	h.wantProblem(1, problem.BudgetExhausted, true)
+	if len(h.sent) != 0 {
+		t.Fatal("the call was sent although the allocation had used its tokens")
 	}
 }
 
-func TestChildReturnsUntilItsParentKnows(t *testing.T) {
-	d := newDesk(t, func(c *recordpb.Created) { c.Parent = "d.p"; c.Depth = 1 })
-	d.do(AllocationRequested{ID: 1, Customer: "c", Child: "k", Tokens: 1})
-	d.wantProblem(1, problem.CallsExhausted, true)
-	d.do(EndRequested{ID: 2, Customer: "c"})
+func TestChildReturnsBudgetUntilAcknowledged(t *testing.T) {
+	h := newHarness(t, func(c *recordpb.Created) { c.Parent = "d.p"; c.Depth = 1 })
+	h.handle(AllocationRequested{ID: 1, Customer: "c", Child: "k", Tokens: 1})
+	h.wantProblem(1, problem.CallsExhausted, true)
+	h.handle(EndRequested{ID: 2, Customer: "c"})
 	returns := 0
 	for range 12 {
-		d.do(Ticked{})
+		h.handle(Ticked{})
 	}
-	for _, a := range d.rest {
+	for _, a := range h.otherActions {
 		if r, ok := a.(ReturnBudget); ok && r.Tokens == 1000 {
 			returns++
 		}
 	}
 	if returns < 3 {
-		t.Fatalf("the rest was brought %d times before the parent answered, want 3 or more", returns)
+		t.Fatalf("the budget was returned %d times before the acknowledgement, want 3 or more", returns)
 	}
-	d.do(ParentCredited{})
-	d.rest = nil
+	h.handle(ParentCredited{})
+	h.otherActions = nil
 	for range 12 {
-		d.do(Ticked{})
+		h.handle(Ticked{})
 	}
-	if len(d.rest) != 0 || !d.m.Settled() {
-		t.Fatalf("after the parent's answer %v, want nothing more", d.rest)
+	if len(h.otherActions) != 0 || !h.m.Settled() {
+		t.Fatalf("actions %v after the acknowledgement, want none", h.otherActions)
 	}
 }
 
-func TestLoopsAndIdleRunsEnd(t *testing.T) {
-	d := newDesk(t, func(c *recordpb.Created) { c.MaxCalls = 1; c.IdleMs = 1000; c.WallMs = 10_000 })
-	d.call(1, turn(1, "a", "one"))
-	d.answer("first")
-	d.call(2, turn(2, "b", "two"))
-	d.wantProblem(2, problem.CallsExhausted, true)
-	d.now = d.now.Add(2 * time.Second)
-	d.do(Ticked{})
-	if d.m.State().Ended() != "idle" {
-		t.Fatalf("ended %q, want idle", d.m.State().Ended())
-	}
-	d.call(3, turn(1, "a", "one"))
-	d.wantAnswer(3, "first")
-	d.call(4, turn(2, "c", "two"))
-	d.wantProblem(4, problem.RunEnded, true)
+func TestCallLimitAndIdleTimeout(t *testing.T) {
+	h := newHarness(t, func(c *recordpb.Created) { c.MaxCalls = 1; c.IdleMs = 1000; c.WallMs = 10_000 })
+	h.call(1, newTurn(1, "a", "one"))
+	h.answer("first")
+	h.call(2, newTurn(2, "b", "two"))
+	h.wantProblem(2, problem.CallsExhausted, true)
+	h.now = h.now.Add(2 * time.Second)
+	h.handle(Ticked{})
+	if h.m.State().Ended() != "idle" {
+		t.Fatalf("ended %q, want idle", h.m.State().Ended())
+	}
+	h.call(3, newTurn(1, "a", "one"))
+	h.wantAnswer(3, "first")
+	h.call(4, newTurn(2, "c", "two"))
+	h.wantProblem(4, problem.RunEnded, true)
 }
 
-func TestWallTimeAbortsTheCallUnderWay(t *testing.T) {
-	d := newDesk(t, func(c *recordpb.Created) { c.WallMs = 10_000 })
-	d.call(1, turn(1, "a", "one"))
-	d.now = d.now.Add(11 * time.Second)
-	d.do(Ticked{})
-	if len(d.rest) != 1 || d.rest[0] != (Abort{Sequence: 1, Attempt: 1}) {
-		t.Fatalf("actions %v, want an abort", d.rest)
+func TestWallTimeAbortsOpenCall(t *testing.T) {
+	h := newHarness(t, func(c *recordpb.Created) { c.WallMs = 10_000 })
+	h.call(1, newTurn(1, "a", "one"))
+	h.now = h.now.Add(11 * time.Second)
+	h.handle(Ticked{})
+	if len(h.otherActions) != 1 || h.otherActions[0] != (Abort{Sequence: 1, Attempt: 1}) {
+		t.Fatalf("actions %v, want an abort", h.otherActions)
 	}
-	d.failed(false)
-	d.wantProblem(1, problem.EndpointFailed, false)
-	if d.m.State().Ended() != "wall_time" || d.m.State().HeldEndpoints() == nil {
-		t.Fatalf("ended %q holding %v, want wall_time with a release due", d.m.State().Ended(), d.m.State().HeldEndpoints())
+	h.fail(false)
+	h.wantProblem(1, problem.EndpointFailed, false)
+	if h.m.State().Ended() != "wall_time" || h.m.State().HeldEndpoints() == nil {
+		t.Fatalf("ended %q holding %v, want wall_time with a held endpoint", h.m.State().Ended(), h.m.State().HeldEndpoints())
 	}
 }
 
 func TestMemoryIsReleasedUntilAcknowledged(t *testing.T) {
-	d := newDesk(t, nil)
-	d.call(1, turn(1, "a", "one"))
-	d.answer("first")
-	d.do(EndRequested{ID: 2, Customer: "c"})
-	d.do(Ticked{})
+	h := newHarness(t, nil)
+	h.call(1, newTurn(1, "a", "one"))
+	h.answer("first")
+	h.handle(EndRequested{ID: 2, Customer: "c"})
+	h.handle(Ticked{})
 	for range 8 {
-		d.do(Ticked{})
+		h.handle(Ticked{})
 	}
-	if len(d.rest) < 3 || d.rest[0] != (ReleaseMemory{Endpoint: "e"}) {
-		t.Fatalf("actions %v, want releases that repeat", d.rest)
+	if len(h.otherActions) < 3 || h.otherActions[0] != (ReleaseMemory{Endpoint: "e"}) {
+		t.Fatalf("actions %v, want repeated releases", h.otherActions)
 	}
-	d.do(MemoryReleased{Endpoint: "e"})
-	d.rest = nil
+	h.handle(MemoryReleased{Endpoint: "e"})
+	h.otherActions = nil
 	for range 8 {
-		d.do(Ticked{})
+		h.handle(Ticked{})
 	}
-	if len(d.rest) != 0 || !d.m.Settled() {
-		t.Fatalf("after the acknowledgement %v, want nothing more", d.rest)
+	if len(h.otherActions) != 0 || !h.m.Settled() {
+		t.Fatalf("actions %v after the acknowledgement, want none", h.otherActions)
 	}
 }
 
-func TestStrangersSeeNothing(t *testing.T) {
-	d := newDesk(t, nil)
-	d.do(CallReceived{ID: 1, Customer: "other", Turn: turn(1, "a", "one")})
-	d.wantProblem(1, problem.NotFound, true)
-	d.do(ViewRequested{ID: 2, Customer: "other"})
-	d.wantProblem(2, problem.NotFound, true)
-	d.do(EndRequested{ID: 3, Customer: "other"})
-	d.wantProblem(3, problem.NotFound, true)
+func TestOtherCustomersHaveNoAccess(t *testing.T) {
+	h := newHarness(t, nil)
+	h.handle(CallReceived{ID: 1, Customer: "other", Turn: newTurn(1, "a", "one")})
+	h.wantProblem(1, problem.NotFound, true)
+	h.handle(ViewRequested{ID: 2, Customer: "other"})
+	h.wantProblem(2, problem.NotFound, true)
+	h.handle(EndRequested{ID: 3, Customer: "other"})
+	h.wantProblem(3, problem.NotFound, true)
 }
 
-func TestWholeHistoryMustContinueTheStoredOne(t *testing.T) {
-	d := newDesk(t, nil)
+func TestWholeHistoryMustExtendStored(t *testing.T) {
+	h := newHarness(t, nil)
 	whole := func(id string, texts ...string) *peerpb.Turn {
 		out := &peerpb.Turn{RequestId: id, WholeHistory: true, Repeatable: true}
 		for i, text := range texts {
@@ -377,30 +380,30 @@
 		}
 		return out
 	}
-	d.call(1, whole("a", "one"))
-	d.answer("first")
-	d.call(2, whole("b", "one", "forged", "two"))
-	d.wantProblem(2, problem.HistoryMismatch, true)
-	d.call(3, whole("c", "one", "first", "two"))
-	d.answer("second")
-	d.wantAnswer(3, "second")
-	if n := len(d.m.State().Turns()[1].Messages()); n != 1 {
-		t.Fatalf("the second turn stores %d messages, want the new one only", n)
+	h.call(1, whole("a", "one"))
+	h.answer("first")
+	h.call(2, whole("b", "one", "forged", "two"))
+	h.wantProblem(2, problem.HistoryMismatch, true)
+	h.call(3, whole("c", "one", "first", "two"))
+	h.answer("second")
+	h.wantAnswer(3, "second")
+	if n := len(h.m.State().Turns()[1].Messages()); n != 1 {
+		t.Fatalf("the second turn stores %d messages, want 1", n)
 	}
 }
 
-func TestNewOwnerSettlesWhatWasOpen(t *testing.T) {
+func TestNewOwnerSettlesOpenCall(t *testing.T) {
 	for _, repeatable := range []bool{true, false} {
-		d := newDesk(t, nil)
-		c := turn(1, "a", "one")
+		h := newHarness(t, nil)
+		c := newTurn(1, "a", "one")
 		c.Repeatable = repeatable
-		d.call(1, c)
-		next := &desk{t: t, now: d.now, told: map[CallID][]*peerpb.DoEvent{}, place: true}
+		h.call(1, c)
+		next := &harness{t: t, now: h.now, events: map[CallID][]*peerpb.DoEvent{}, autoPlace: true}
 		next.m.Handle(next.now, Recorded{Records: []*recordpb.Record{
-			{Body: &recordpb.Record_Created{Created: d.m.State().Created()}},
-			{Body: &recordpb.Record_Intent{Intent: d.sent[0].Intent}},
+			{Body: &recordpb.Record_Created{Created: h.m.State().Created()}},
+			{Body: &recordpb.Record_Intent{Intent: h.sent[0].Intent}},
 		}})
-		next.do(Loaded{})
+		next.handle(Loaded{})
 		next.call(2, c)
 		if repeatable {
 			if len(next.sent) != 1 || next.sent[0].Intent.GetAttempt() != 2 {
--- a/rockbarrow/program/state.go
+++ b/rockbarrow/program/state.go
@@ -6,32 +6,32 @@
 	"rockbarrow.dev/schema/recordpb"
 )
 
-// TurnState tells how far a turn has come.
+// TurnState is the progress of a turn.
 type TurnState int
 
-// The states of a turn as its journal knows them.
+// The states of a turn, as recorded in the journal.
 const (
 	// Intended means that an attempt may have been sent.
 	Intended TurnState = iota
 	// Answered means that the whole answer is stored.
 	Answered
-	// OutcomeUnknown means that the call may have run and is never sent again.
+	// OutcomeUnknown means that the call may have run. It is never sent again.
 	OutcomeUnknown
 )
 
-// String returns the state's name in own formats.
+// String returns the name of the state as shown in views of the run.
 func (s TurnState) String() string {
 	return [...]string{"intended", "answered", "unknown"}[s]
 }
 
-// Turn is one call of a run with what became of it.
+// Turn is one call of a run and its outcome.
 type Turn struct {
 	intent   *recordpb.Intent
 	answered *recordpb.Answered
 	state    TurnState
-	// messages are what the call adds to the history; retries do not repeat them.
-	messages []*recordpb.Message
-	why      string
+	// messages are what the call adds to the history. Intents of retries omit them.
+	messages      []*recordpb.Message
+	failureReason string
 }
 
 // Intent returns the newest attempt.
@@ -40,64 +40,64 @@
 // Answer returns the stored answer, or nil.
 func (t *Turn) Answer() *recordpb.Answered { return t.answered }
 
-// State returns how far the turn has come.
+// State returns the progress of the turn.
 func (t *Turn) State() TurnState { return t.state }
 
-// Messages returns what the call added to the history.
+// Messages returns the messages that the call added to the history.
 func (t *Turn) Messages() []*recordpb.Message { return t.messages }
 
-// Reason tells why the endpoint was chosen or the turn failed.
+// Reason returns why the turn failed, or else why its endpoint was chosen.
 func (t *Turn) Reason() string {
-	if t.why != "" {
-		return t.why
+	if t.failureReason != "" {
+		return t.failureReason
 	}
 	return t.intent.GetReason()
 }
 
-// slice is a part of the budget given to a child run.
-type slice struct {
+// allocation is a part of the budget that is given to a child run.
+type allocation struct {
 	child    string
 	tokens   uint64
 	returned bool
 }
 
-// State is a run as its journal tells it. The zero value is a run that has not
-// been created.
+// State is the state of a run as recorded in its journal. The zero value is a
+// run that has not been created.
 type State struct {
 	created *recordpb.Created
-	// turns are consecutive from sequence 1; only the last may be Intended.
+	// turns have consecutive sequences from 1. Only the last may be Intended.
 	turns []*Turn
-	// spent never shrinks but by a child's return.
+	// spent decreases only when a child returns unspent tokens.
 	spent uint64
-	// reserved covers the Intended turn and is 0 without one.
-	reserved uint64
-	slices   []slice
-	// held lists endpoints that may hold memory for the run, each once.
-	held     []string
-	ended    string
-	credited bool
-	activeMS int64
-	madeMS   int64
-	calls    uint32
+	// reserved is the most that the Intended turn may cost, or 0 without one.
+	reserved    uint64
+	allocations []allocation
+	// held lists the endpoints that may hold memory for the run, without duplicates.
+	held         []string
+	ended        string
+	credited     bool
+	lastActiveMS int64
+	createdMS    int64
+	calls        uint32
 }
 
-// Created returns what the run was created with, or nil.
+// Created returns the parameters of the run, or nil before its creation.
 func (s *State) Created() *recordpb.Created { return s.created }
 
 // Turns returns all turns in order.
 func (s *State) Turns() []*Turn { return s.turns }
 
-// Spent returns the tokens that are gone for good.
+// Spent returns the tokens that calls and children have used.
 func (s *State) Spent() uint64 { return s.spent }
 
-// Reserved returns the tokens set aside for the call under way.
+// Reserved returns the tokens reserved for the call in progress.
 func (s *State) Reserved() uint64 { return s.reserved }
 
-// Ended returns why the run ended, or "".
+// Ended returns why the run ended, or "" if it has not.
 func (s *State) Ended() string { return s.ended }
 
 // CreatedMS returns the creation time in milliseconds since 1970.
-func (s *State) CreatedMS() int64 { return s.madeMS }
+func (s *State) CreatedMS() int64 { return s.createdMS }
 
 // HeldEndpoints returns the endpoints that may hold memory for the run.
 func (s *State) HeldEndpoints() []string { return s.held }
@@ -111,7 +111,7 @@
 	return s.created.GetBudgetTokens() - used
 }
 
-// NextSequence returns the sequence of the next call that is not settled.
+// NextSequence returns the sequence of the first call that is not settled.
 func (s *State) NextSequence() uint64 {
 	n := uint64(len(s.turns))
 	if n > 0 && s.turns[n-1].state == Intended {
@@ -128,7 +128,7 @@
 	return nil
 }
 
-// FindTurn returns the turn of a request id, or nil.
+// FindTurn returns the turn with a request id, or nil.
 func (s *State) FindTurn(requestID string) *Turn {
 	for _, t := range s.turns {
 		if t.intent.GetRequestId() == requestID {
@@ -150,8 +150,8 @@
 	return out
 }
 
-// Apply folds one record. It fails, and changes nothing, on a record that no
-// correct owner writes at this place.
+// Apply applies one record. It returns an [OrderError], and changes nothing, if
+// the record is not valid in the current state.
 func (s *State) Apply(r *recordpb.Record) error {
 	if s.created == nil {
 		return s.applyCreated(r)
@@ -159,18 +159,18 @@
 	if err := s.applyStep(r); err != nil {
 		return err
 	}
-	s.activeMS = max(s.activeMS, r.GetAtMs())
+	s.lastActiveMS = max(s.lastActiveMS, r.GetAtMs())
 	return nil
 }
 
 func (s *State) applyCreated(r *recordpb.Record) error {
 	b, ok := r.GetBody().(*recordpb.Record_Created)
 	if !ok {
-		return &OrderError{Record: r, Reason: "the run is not created"}
+		return &OrderError{Record: r, Reason: "the run has not been created"}
 	}
 	s.created = b.Created
-	s.madeMS = r.GetAtMs()
-	s.activeMS = r.GetAtMs()
+	s.createdMS = r.GetAtMs()
+	s.lastActiveMS = r.GetAtMs()
 	return nil
 }
 
@@ -185,9 +185,9 @@
 	case *recordpb.Record_Cancelled:
 		return s.applyCancelled(r, b.Cancelled)
 	case *recordpb.Record_Carved:
-		return s.applyCarved(r, b.Carved)
+		return s.applyAllocation(r, b.Carved)
 	case *recordpb.Record_Returned:
-		s.applyReturned(b.Returned)
+		s.applyCredit(b.Returned)
 		return nil
 	case *recordpb.Record_Released:
 		s.release(b.Released.GetEndpoint())
@@ -195,7 +195,7 @@
 	case *recordpb.Record_Ended:
 		return s.applyEnded(r, b.Ended)
 	}
-	return &OrderError{Record: r, Reason: "a record of this kind has no place here"}
+	return &OrderError{Record: r, Reason: "unexpected kind of record"}
 }
 
 func (s *State) applyIntent(r *recordpb.Record, in *recordpb.Intent) error {
@@ -204,13 +204,13 @@
 	case s.ended != "":
 		return &OrderError{Record: r, Reason: "the run has ended"}
 	case in.GetSequence() != s.NextSequence():
-		return &OrderError{Record: r, Reason: "the sequence is not the next"}
+		return &OrderError{Record: r, Reason: "the sequence is out of order"}
 	case open != nil && in.GetAttempt() <= open.intent.GetAttempt():
-		return &OrderError{Record: r, Reason: "the attempt is not newer"}
+		return &OrderError{Record: r, Reason: "the attempt is not newer than the open one"}
 	case open != nil && in.GetRequestId() != open.intent.GetRequestId():
-		return &OrderError{Record: r, Reason: "another request holds the sequence"}
+		return &OrderError{Record: r, Reason: "another request uses the sequence"}
 	case !s.covers(in.GetChargedTokens(), in.GetReserveTokens()):
-		return &OrderError{Record: r, Reason: "the budget does not cover the reserve"}
+		return &OrderError{Record: r, Reason: "the budget does not cover the reservation"}
 	}
 	if open == nil {
 		open = &Turn{messages: in.GetMessages()}
@@ -225,8 +225,8 @@
 	return nil
 }
 
-// covers reports whether the budget covers two amounts besides what is spent,
-// however large they are.
+// covers reports whether the unspent budget covers the sum of two amounts. The
+// sum may overflow and is not computed.
 func (s *State) covers(a, b uint64) bool {
 	budget := s.created.GetBudgetTokens()
 	if s.spent > budget || a > budget-s.spent {
@@ -247,8 +247,8 @@
 	return nil
 }
 
-// applyUnknown spends the whole reserve. A repeatable call leaves its place in
-// the order, so that the caller may make it again.
+// applyUnknown charges the whole reservation. A repeatable call frees its
+// sequence, so that the caller may make the call again.
 func (s *State) applyUnknown(r *recordpb.Record, u *recordpb.Unknown) error {
 	open := s.OpenTurn()
 	if open == nil || open.intent.GetSequence() != u.GetSequence() {
@@ -257,51 +257,51 @@
 	s.spent += s.reserved
 	s.reserved = 0
 	if open.intent.GetRepeatable() {
-		s.dropOpen()
+		s.removeOpenTurn()
 		return nil
 	}
 	open.state = OutcomeUnknown
-	open.why = u.GetReason()
+	open.failureReason = u.GetReason()
 	return nil
 }
 
-// applyCancelled frees the place of a call that certainly did not run.
+// applyCancelled frees the sequence of a call that certainly did not run.
 func (s *State) applyCancelled(r *recordpb.Record, c *recordpb.Cancelled) error {
 	open := s.OpenTurn()
 	if open == nil || open.intent.GetSequence() != c.GetSequence() {
 		return &OrderError{Record: r, Reason: "no such call is open"}
 	}
 	s.reserved = 0
-	s.dropOpen()
+	s.removeOpenTurn()
 	return nil
 }
 
-// dropOpen takes the open turn out, so that its sequence is free again.
-func (s *State) dropOpen() {
+// removeOpenTurn removes the open turn and frees its sequence.
+func (s *State) removeOpenTurn() {
 	s.turns = s.turns[:len(s.turns)-1]
 	s.calls--
 }
 
-func (s *State) applyCarved(r *recordpb.Record, c *recordpb.Carved) error {
+func (s *State) applyAllocation(r *recordpb.Record, c *recordpb.Carved) error {
 	if s.ended != "" || c.GetTokens() > s.Remaining() {
-		return &OrderError{Record: r, Reason: "the budget does not cover the slice"}
+		return &OrderError{Record: r, Reason: "the budget does not cover the allocation"}
 	}
-	if s.slice(c.GetChild()) != nil {
-		return &OrderError{Record: r, Reason: "the child has its slice"}
+	if s.allocation(c.GetChild()) != nil {
+		return &OrderError{Record: r, Reason: "the child already has an allocation"}
 	}
-	s.slices = append(s.slices, slice{child: c.GetChild(), tokens: c.GetTokens()})
+	s.allocations = append(s.allocations, allocation{child: c.GetChild(), tokens: c.GetTokens()})
 	s.spent += c.GetTokens()
 	return nil
 }
 
-// applyReturned credits a child's rest once. A run's own name marks that its
-// parent has credited it.
-func (s *State) applyReturned(c *recordpb.Returned) {
+// applyCredit credits the unspent tokens of a child, once per child. A record
+// with the run's own name means that its parent has credited it.
+func (s *State) applyCredit(c *recordpb.Returned) {
 	if c.GetChild() == s.created.GetRun() {
 		s.credited = true
 		return
 	}
-	if sl := s.slice(c.GetChild()); sl != nil && !sl.returned {
+	if sl := s.allocation(c.GetChild()); sl != nil && !sl.returned {
 		sl.returned = true
 		s.spent -= min(sl.tokens, c.GetTokens())
 	}
@@ -309,7 +309,7 @@
 
 func (s *State) applyEnded(r *recordpb.Record, e *recordpb.Ended) error {
 	if s.OpenTurn() != nil {
-		return &OrderError{Record: r, Reason: "a call is under way"}
+		return &OrderError{Record: r, Reason: "a call is in progress"}
 	}
 	if s.ended == "" {
 		s.ended = e.GetReason()
@@ -317,10 +317,10 @@
 	return nil
 }
 
-func (s *State) slice(child string) *slice {
-	for i := range s.slices {
-		if s.slices[i].child == child {
-			return &s.slices[i]
+func (s *State) allocation(child string) *allocation {
+	for i := range s.allocations {
+		if s.allocations[i].child == child {
+			return &s.allocations[i]
 		}
 	}
 	return nil
--- a/rockbarrow/program/view.go
+++ b/rockbarrow/program/view.go
@@ -6,8 +6,8 @@
 	"rockbarrow.dev/schema/peerpb"
 )
 
-// View returns the run for a reader: the turns after a sequence, at most limit
-// of them; limit 0 leaves the turns out.
+// View returns the public view of the run with at most limit turns after a
+// sequence. A limit of 0 omits the turns.
 func (s *State) View(owner string, after uint64, limit uint32) *peerpb.RunView {
 	c := s.created
 	v := &peerpb.RunView{
