--- a/rockbarrow/config/lead.go
+++ b/rockbarrow/config/lead.go
@@ -42,7 +42,7 @@
 // Journal hands a leader's message to the own copy of the control journal.
 func (s *Source) Journal(to journal.Member, m journal.Message) journal.Reply {
 	if !to.Is(s.self()) {
-		return journal.Silent{}
+		return journal.NonVoting{}
 	}
 	return s.voter.message(m)
 }
--- a/rockbarrow/config/voter.go
+++ b/rockbarrow/config/voter.go
@@ -110,14 +110,14 @@
 func (s *Source) reseat() {
 	s.leadMu.Lock()
 	l := s.leader
-	if l == nil || !l.Serves() || l.Writer().Changing() {
+	if l == nil || !l.Serves() || l.Writer().ChangingMembers() {
 		s.leadMu.Unlock()
 		return
 	}
 	members := l.Writer().Members()
 	s.leadMu.Unlock()
 	for _, i := range s.View().Instances() {
-		if !i.Control() || !i.Usable() || members.Has(i.Member()) {
+		if !i.Control() || !i.Usable() || members.Contains(i.Member()) {
 			continue
 		}
 		for _, m := range members {
--- a/rockbarrow/control/leader.go
+++ b/rockbarrow/control/leader.go
@@ -125,15 +125,15 @@
 func (l *Leader) Handle(now time.Time, e Event) []Action {
 	switch e := e.(type) {
 	case Start:
-		l.writer = journal.Writer{Self: l.Self, Incarnation: l.Incarnation, Initial: l.Voters, Eager: true}
+		l.writer = journal.Writer{Self: l.Self, Incarnation: l.Incarnation, Initial: l.Voters, AnnounceCommits: true}
 		if l.Replica != nil {
-			l.writer.Adopt(l.Replica)
+			l.writer.Restore(l.Replica)
 		}
 		return l.journal(now, journal.Campaign{Round: e.Round})
 	case Replied:
 		return l.journal(now, journal.Replied{From: e.From, Reply: e.Reply})
 	case Lost:
-		return l.journal(now, journal.Lost{To: e.To})
+		return l.journal(now, journal.NoReply{To: e.To})
 	case Asked:
 		return l.asked(now, e)
 	case Replacing:
@@ -203,7 +203,7 @@
 			l.restore()
 		case journal.Committed:
 			out = append(out, l.committed(now, a.Entries)...)
-		case journal.Deposed:
+		case journal.Superseded:
 			out = append(out, l.deposed(a.By))
 		}
 	}
@@ -288,15 +288,15 @@
 // counts, and then dismisses the old one.
 func (l *Leader) replaceStep(now time.Time) []Action {
 	r := l.replace
-	if r == nil || !l.writer.Serves() || l.writer.Changing() {
+	if r == nil || !l.writer.Serves() || l.writer.ChangingMembers() {
 		return nil
 	}
 	members := l.writer.Members()
-	if !members.Has(r.New) {
-		return l.journal(now, journal.Admit{Member: r.New})
+	if !members.Contains(r.New) {
+		return l.journal(now, journal.AddMember{Member: r.New})
 	}
-	if members.Has(r.Old) {
-		return l.journal(now, journal.Dismiss{Member: r.Old})
+	if members.Contains(r.Old) {
+		return l.journal(now, journal.RemoveMember{Member: r.Old})
 	}
 	l.replace = nil
 	return nil
--- a/rockbarrow/control/leader_test.go
+++ b/rockbarrow/control/leader_test.go
@@ -211,7 +211,7 @@
 		c.step(l, Ticked{})
 	}
 	c.drain()
-	if m := c.leaders[l].Writer().Members(); len(m) != 3 || !m.Has(fresh) {
+	if m := c.leaders[l].Writer().Members(); len(m) != 3 || !m.Contains(fresh) {
 		t.Fatalf("voters %v, want v2's next life in the place of the lost one", m)
 	}
 	c.down["v1"] = true
--- a/rockbarrow/host/replica.go
+++ b/rockbarrow/host/replica.go
@@ -16,7 +16,7 @@
 func (h *Host) Journal(name string, to journal.Member, m journal.Message) journal.Reply {
 	h.begin()
 	if !h.addressed(to) {
-		return journal.Silent{}
+		return journal.NonVoting{}
 	}
 	return h.run(name, true).message(to, m)
 }
--- a/rockbarrow/host/serve.go
+++ b/rockbarrow/host/serve.go
@@ -99,7 +99,7 @@
 	if !known {
 		return h.take(r, claimed{view: view, create: true, keyed: req.GetCreate().GetKeyed()})
 	}
-	if h.wrote(ballot) && members.Has(h.self()) {
+	if h.wrote(ballot) && members.Contains(h.self()) {
 		return h.take(r, claimed{view: view})
 	}
 	if !req.GetTakeOver() && view.Writes(ballot) {
@@ -109,7 +109,7 @@
 	switch {
 	case !ok:
 		return nil, problem.Event(problem.Retry(problem.NotServing, "no instance that holds the run's history is known to live", time.Second))
-	case m.Is(h.self()), req.GetTakeOver() && members.Has(h.self()):
+	case m.Is(h.self()), req.GetTakeOver() && members.Contains(h.self()):
 		return h.take(r, claimed{view: view})
 	}
 	return nil, redirect(m.Instance(), false)
--- a/rockbarrow/journal/ballot.go
+++ b/rockbarrow/journal/ballot.go
@@ -51,7 +51,7 @@
 type Members []Member
 
 // Has reports whether the set holds this life of the storage.
-func (s Members) Has(m Member) bool {
+func (s Members) Contains(m Member) bool {
 	for _, o := range s {
 		if o.Is(m) {
 			return true
--- a/rockbarrow/journal/campaign.go
+++ b/rockbarrow/journal/campaign.go
@@ -72,7 +72,7 @@
 	if votes < members.Majority() {
 		return false
 	}
-	return last > 0 || !w.Keyed || w.surelyEmpty(members)
+	return last > 0 || !w.ConcurrentCreate || w.surelyEmpty(members)
 }
 
 // surelyEmpty reports whether no entry can have committed that the promises do
--- a/rockbarrow/journal/journal_test.go
+++ b/rockbarrow/journal/journal_test.go
@@ -43,7 +43,7 @@
 func (b *bench) writer(self Member, initial Members) int {
 	b.round++
 	w := &Writer{Self: self, Initial: initial, Incarnation: b.round}
-	w.Adopt(b.replicas[key(self)])
+	w.Restore(b.replicas[key(self)])
 	b.writers = append(b.writers, w)
 	return len(b.writers) - 1
 }
@@ -92,14 +92,14 @@
 	}
 	r := b.replicas[key(l.to)]
 	if r == nil {
-		b.pending = append(b.pending, letter{writer: l.writer, to: l.to, reply: Silent{}})
+		b.pending = append(b.pending, letter{writer: l.writer, to: l.to, reply: NonVoting{}})
 		return
 	}
 	reply, _ := r.Handle(l.message)
 	b.pending = append(b.pending, letter{writer: l.writer, to: l.to, reply: reply})
 }
 
-func (b *bench) lose(l letter) { b.step(l.writer, Lost{To: l.to}) }
+func (b *bench) lose(l letter) { b.step(l.writer, NoReply{To: l.to}) }
 
 func (b *bench) drain() {
 	for n := 0; len(b.pending) > 0 && n < 10_000; n++ {
@@ -202,11 +202,11 @@
 	b.step(w, Propose{Payload: []byte("x")})
 	b.drain()
 	delete(b.replicas, m3)
-	b.step(w, Admit{Member: m4})
+	b.step(w, AddMember{Member: m4})
 	b.drain()
-	b.step(w, Dismiss{Member: m3})
+	b.step(w, RemoveMember{Member: m3})
 	b.drain()
-	if got := b.writers[w].Members(); len(got) != 3 || !got.Has(m4) {
+	if got := b.writers[w].Members(); len(got) != 3 || !got.Contains(m4) {
 		t.Fatalf("members %v, want a, b and d", got)
 	}
 	delete(b.replicas, m1)
@@ -241,7 +241,7 @@
 	if !b.writers[next].Serves() || b.writers[next].handed != 0 || len(b.history) != told {
 		t.Fatalf("serves %v and handed %d with a single copy, want true and 0", b.writers[next].Serves(), b.writers[next].handed)
 	}
-	b.step(next, Admit{Member: m4})
+	b.step(next, AddMember{Member: m4})
 	b.drain()
 	if b.writers[next].handed < 2 {
 		t.Fatalf("handed %d with two copies, want the payload", b.writers[next].handed)
@@ -255,14 +255,14 @@
 	w := b.writer(m1, Members{m1, m2, m3})
 	b.step(w, Campaign{})
 	b.drain()
-	b.step(w, Admit{Member: m4})
+	b.step(w, AddMember{Member: m4})
 	b.drain()
-	b.step(w, Dismiss{Member: m3})
+	b.step(w, RemoveMember{Member: m3})
 	b.drain()
-	b.step(w, Admit{Member: m3})
+	b.step(w, AddMember{Member: m3})
 	b.drain()
-	if got := b.writers[w].Members(); !got.Has(m3) || b.writers[w].Changing() {
-		t.Fatalf("members %v, changing %v, want c among them again", got, b.writers[w].Changing())
+	if got := b.writers[w].Members(); !got.Contains(m3) || b.writers[w].ChangingMembers() {
+		t.Fatalf("members %v, changing %v, want c among them again", got, b.writers[w].ChangingMembers())
 	}
 }
 
@@ -270,7 +270,7 @@
 	m1, m2, m3 := three()
 	b := newBench(t, m1, m2, m3)
 	w := b.writer(m1, Members{m1, m2, m3})
-	b.writers[w].Keyed = true
+	b.writers[w].ConcurrentCreate = true
 	b.step(w, Campaign{})
 	for len(b.pending) > 0 {
 		l := b.take(0)
@@ -282,7 +282,7 @@
 	delete(b.replicas, m2)
 	b.replicas[reborn] = &Replica{Fresh: true}
 	second := b.writer(m3, Members{m1, reborn, m3})
-	b.writers[second].Keyed = true
+	b.writers[second].ConcurrentCreate = true
 	b.step(second, Campaign{})
 	for len(b.pending) > 0 {
 		l := b.take(0)
--- a/rockbarrow/journal/message.go
+++ b/rockbarrow/journal/message.go
@@ -2,33 +2,34 @@
 
 package journal
 
-// Message goes from a writer to a replica: [Prepare], [Fetch], [Append] or
+// Message is sent by a writer to a replica: [Prepare], [Fetch], [Append] or
 // [Install].
 type Message interface{ message() }
 
-// Prepare asks to refuse all ballots older than this one.
+// Prepare asks for a promise to refuse all older ballots.
 type Prepare struct{ Ballot Ballot }
 
-// Fetch asks for the entries after an index, at most Limit of them.
+// Fetch asks for at most Limit entries after an index.
 type Fetch struct {
 	Ballot Ballot
 	After  uint64
 	Limit  int
 }
 
-// Append asks to store entries after the one at PrevIndex, whose digest the
-// replica must hold, and tells how far the log is committed.
+// Append asks to store entries after the one at PrevIndex, which must have the
+// digest PrevDigest, and carries the commit index.
 type Append struct {
 	Ballot     Ballot
 	PrevIndex  uint64
 	PrevDigest Digest
 	Entries    []Entry
 	Commit     uint64
-	// Nonce comes back in the reply, so that a late reply proves nothing new.
+	// Nonce is returned in the reply and identifies the newest Confirm that the
+	// reply acknowledges.
 	Nonce uint64
 }
 
-// Install replaces what the replica holds below the base by its snapshot.
+// Install replaces the replica's log up to the base by a snapshot.
 type Install struct {
 	Ballot Ballot
 	Base   Base
@@ -39,23 +40,22 @@
 func (Append) message()  {}
 func (Install) message() {}
 
-// Reply goes from a replica back to the writer: [Promised], [Fetched],
-// [Accepted], [Gap], [Refused] or [Silent].
+// Reply is sent by a replica to the writer: [Promised], [Fetched], [Accepted],
+// [Mismatch], [Refused] or [NonVoting].
 type Reply interface{ reply() }
 
-// Promised grants a Prepare and describes the log that the replica holds.
+// Promised grants a Prepare and describes the replica's log.
 type Promised struct {
 	Ballot     Ballot
 	LastIndex  uint64
 	LastBallot Ballot
 	LastDigest Digest
 	Commit     uint64
-	// Fresh is set by a replica that may have forgotten an earlier promise for
-	// a journal that it does not know.
+	// Fresh is true if the replica has no log and may have lost an earlier promise.
 	Fresh bool
 }
 
-// Fetched answers a Fetch. Base is set when the asked entries are folded.
+// Fetched answers a Fetch. Base is set if some of the entries were compacted.
 type Fetched struct {
 	Ballot  Ballot
 	After   uint64
@@ -63,31 +63,31 @@
 	Entries []Entry
 }
 
-// Accepted says that the log is held, and synced where there is a disk, up to
-// Index.
+// Accepted reports that the replica has stored the log up to Index, and has
+// synced it if it uses a disk.
 type Accepted struct {
 	Ballot Ballot
 	Index  uint64
 	Nonce  uint64
 }
 
-// Gap says that the log does not reach or match PrevIndex; Index is the newest
-// entry that may match.
-type Gap struct {
+// Mismatch reports that the log has no entry at PrevIndex with the expected
+// digest. Index is the newest entry that may match.
+type Mismatch struct {
 	Ballot Ballot
 	Index  uint64
 }
 
-// Refused says that a newer ballot is promised.
+// Refused reports that the replica has promised a newer ballot.
 type Refused struct{ Promised Ballot }
 
-// Silent says that the replica never votes again in this life: another life of
-// the instance answers, or its disk failed.
-type Silent struct{}
+// NonVoting reports that the member will not vote again: the instance has
+// restarted with other storage, or its disk has failed.
+type NonVoting struct{}
 
-func (Promised) reply() {}
-func (Fetched) reply()  {}
-func (Accepted) reply() {}
-func (Gap) reply()      {}
-func (Refused) reply()  {}
-func (Silent) reply()   {}
+func (Promised) reply()  {}
+func (Fetched) reply()   {}
+func (Accepted) reply()  {}
+func (Mismatch) reply()  {}
+func (Refused) reply()   {}
+func (NonVoting) reply() {}
--- a/rockbarrow/journal/model_test.go
+++ b/rockbarrow/journal/model_test.go
@@ -120,11 +120,11 @@
 		case x < 16:
 			b.step(r.IntN(len(b.writers)), Resend{})
 		case x < 18:
-			b.step(r.IntN(len(b.writers)), Admit{Member: live(r.IntN(len(names)))})
+			b.step(r.IntN(len(b.writers)), AddMember{Member: live(r.IntN(len(names)))})
 		case x < 20:
 			w := b.writers[r.IntN(len(b.writers))]
 			if m := w.Members(); len(m) > 3 {
-				b.step(r.IntN(len(b.writers)), Dismiss{Member: m[r.IntN(len(m))]})
+				b.step(r.IntN(len(b.writers)), RemoveMember{Member: m[r.IntN(len(m))]})
 			}
 		case x == 20 && restarts == 0 && n > 300:
 			i := r.IntN(len(names))
--- a/rockbarrow/journal/replica.go
+++ b/rockbarrow/journal/replica.go
@@ -77,7 +77,7 @@
 // is durable, has been synced.
 func (r *Replica) Handle(m Message) (Reply, Change) {
 	if r.failed {
-		return Silent{}, Change{}
+		return NonVoting{}, Change{}
 	}
 	switch m := m.(type) {
 	case Prepare:
@@ -89,7 +89,7 @@
 	case Install:
 		return r.install(m)
 	}
-	return Silent{}, Change{}
+	return NonVoting{}, Change{}
 }
 
 // Compact folds committed entries up to index into state.
@@ -198,7 +198,7 @@
 	return Accepted{Ballot: m.Ballot, Index: r.commit}, r.kept(change)
 }
 
-func (r *Replica) gap(b Ballot, index uint64) Reply { return Gap{Ballot: b, Index: index} }
+func (r *Replica) gap(b Ballot, index uint64) Reply { return Mismatch{Ballot: b, Index: index} }
 
 func (r *Replica) kept(c Change) Change {
 	c.Commit = r.commit
--- a/rockbarrow/journal/replicate.go
+++ b/rockbarrow/journal/replicate.go
@@ -42,7 +42,7 @@
 	if p.busy || p.silent || p.member.incarnation == 0 {
 		return nil
 	}
-	if p.match >= w.log.LastIndex() && p.confirmed >= w.asked && (p.told >= w.commit || !w.Eager) {
+	if p.match >= w.log.LastIndex() && p.confirmed >= w.asked && (p.told >= w.commit || !w.AnnounceCommits) {
 		return nil
 	}
 	p.busy = true
@@ -104,7 +104,7 @@
 	if w.phase == serving && w.handed < w.commit && w.tally(w.commit).kept() {
 		out = append(out, Committed{Entries: w.log.After(w.handed, int(w.commit-w.handed))})
 		w.handed = w.commit
-		if w.Eager {
+		if w.AnnounceCommits {
 			out = append(out, w.replicateAll()...)
 		}
 	}
--- a/rockbarrow/journal/seat.go
+++ b/rockbarrow/journal/seat.go
@@ -18,7 +18,7 @@
 	}
 	var out Members
 	for _, m := range w.log.membersBefore(at) {
-		if !now.Has(m) {
+		if !now.Contains(m) {
 			out = append(out, m)
 		}
 	}
@@ -41,7 +41,7 @@
 }
 
 func (w *Writer) admit(m Member) []Action {
-	if w.phase != serving || w.Changing() || w.Members().Has(m) {
+	if w.phase != serving || w.ChangingMembers() || w.Members().Contains(m) {
 		return nil
 	}
 	// A member that was dismissed and comes back keeps its progress.
@@ -66,7 +66,7 @@
 }
 
 func (w *Writer) dismiss(m Member) []Action {
-	if w.phase != serving || w.Changing() || !w.Members().Has(m) {
+	if w.phase != serving || w.ChangingMembers() || !w.Members().Contains(m) {
 		return nil
 	}
 	return w.write(Entry{members: w.Members().Without(m)})
--- a/rockbarrow/journal/writer.go
+++ b/rockbarrow/journal/writer.go
@@ -8,23 +8,23 @@
 	appendLimit = 64
 )
 
-// Event is what a writer handles: [Campaign], [Propose], [Admit], [Dismiss],
-// [Replied], [Lost], [Resend] or [Confirm].
+// Event is an input of a [Writer]: [Campaign], [Propose], [AddMember],
+// [RemoveMember], [Replied], [NoReply], [Resend] or [Confirm].
 type Event interface{ event() }
 
-// Campaign starts or restarts the writer under a ballot above all it has seen,
-// in a round of at least Round. The host never gives one round twice in one
-// process, so that no ballot is ever used by two writers.
+// Campaign starts or restarts the writer under a ballot newer than all that it
+// has seen, in a round of at least Round. The host never uses a round twice in
+// one process, so that no two writers share a ballot.
 type Campaign struct{ Round uint64 }
 
 // Propose appends a payload. It is ignored unless the writer serves.
 type Propose struct{ Payload []byte }
 
-// Admit copies the log to a new member and then makes it count.
-type Admit struct{ Member Member }
+// AddMember copies the log to a new member and then adds it to the set.
+type AddMember struct{ Member Member }
 
-// Dismiss takes a member out of the set.
-type Dismiss struct{ Member Member }
+// RemoveMember removes a member from the set.
+type RemoveMember struct{ Member Member }
 
 // Replied is a replica's reply to a [Send].
 type Replied struct {
@@ -32,13 +32,13 @@
 	Reply Reply
 }
 
-// Lost says that a [Send] got no reply; it may have arrived.
-type Lost struct{ To Member }
+// NoReply reports that a [Send] was not answered. The message may have arrived.
+type NoReply struct{ To Member }
 
-// Resend sends again what members lack; it is due now and then.
+// Resend sends the members what they lack. It is handled periodically.
 type Resend struct{}
 
-// Confirm asks whether the writer is still the writer; [Confirmed] answers it
+// Confirm checks that no newer writer has been elected. [Confirmed] answers it
 // once a majority has accepted a message that was sent after it.
 type Confirm struct{}
 
@@ -46,41 +46,42 @@
 
 func (Propose) event() {}
 
-func (Admit) event() {}
+func (AddMember) event() {}
 
-func (Dismiss) event() {}
+func (RemoveMember) event() {}
 
 func (Replied) event() {}
 
-func (Lost) event() {}
+func (NoReply) event() {}
 
 func (Resend) event() {}
 
 func (Confirm) event() {}
 
-// Action is what a writer wants done: [Send], [Serving], [Committed],
-// [Confirmed] or [Deposed].
+// Action is an output of a [Writer]: [Send], [Serving], [Committed],
+// [Confirmed] or [Superseded].
 type Action interface{ action() }
 
-// Send carries a message to a member, the writer's own replica included.
+// Send sends a message to a member, which may be the writer's own replica.
 type Send struct {
 	To      Member
 	Message Message
 }
 
-// Serving says that the writer's own first entry has committed.
+// Serving reports that the writer's first entry has committed.
 type Serving struct{}
 
-// Committed hands over entries in order, each once. After a takeover it starts
-// with all entries above the base.
+// Committed delivers committed entries in order, each once. The first delivery
+// of a writer contains all entries above the base.
 type Committed struct{ Entries []Entry }
 
-// Confirmed says that no newer writer had a majority when the Confirm was
-// handled whose number this is; the first has number 1.
+// Confirmed reports that no newer writer had a majority when the Confirm with
+// this number was handled. The first Confirm has number 1.
 type Confirmed struct{ Number uint64 }
 
-// Deposed says that a newer ballot is promised and the writer has stopped.
-type Deposed struct{ By Ballot }
+// Superseded reports that a replica has promised a newer ballot and that the
+// writer has stopped.
+type Superseded struct{ By Ballot }
 
 func (Send) action() {}
 
@@ -90,7 +91,7 @@
 
 func (Confirmed) action() {}
 
-func (Deposed) action() {}
+func (Superseded) action() {}
 
 type phase int
 
@@ -123,19 +124,19 @@
 
 // Writer is the only writer of a journal under its ballot.
 type Writer struct {
-	// Self is the member that writes, and replies to its own messages too.
+	// Self is the writer's own member, which also receives its messages.
 	Self Member
-	// Incarnation is the number of this life of the process. It goes into the
-	// ballots, as a storage may outlive the process that wrote to it.
+	// Incarnation identifies this start of the process. It is part of the ballots,
+	// as the storage may outlive the process.
 	Incarnation uint64
-	// Initial is the set of an empty journal.
+	// Initial is the set of members of an empty journal.
 	Initial Members
-	// Keyed is true when another writer may create the same journal. An empty
-	// log is then adopted only if no promise of an earlier life can be lost.
-	Keyed bool
-	// Eager tells the members at once how far the log is committed; otherwise
-	// they learn it with the next entry.
-	Eager bool
+	// ConcurrentCreate is true if another writer may create the same journal. An
+	// empty log is then adopted only if no earlier promise can be lost.
+	ConcurrentCreate bool
+	// AnnounceCommits sends the members the commit index as soon as it advances.
+	// Otherwise it is sent with the next entry.
+	AnnounceCommits bool
 
 	phase  phase
 	ballot Ballot
@@ -155,8 +156,8 @@
 	asked, proven uint64
 }
 
-// Adopt gives the writer the log of its own replica, before a Campaign.
-func (w *Writer) Adopt(r *Replica) {
+// Restore sets the log of the writer's own replica, before a Campaign.
+func (w *Writer) Restore(r *Replica) {
 	w.log = r.log.copyLog()
 	w.commit = r.commit
 	w.see(r.promised)
@@ -168,8 +169,8 @@
 // Serves reports whether proposals are taken.
 func (w *Writer) Serves() bool { return w.phase == serving }
 
-// Deposed reports whether a newer writer was met.
-func (w *Writer) Deposed() bool { return w.phase == deposed }
+// Superseded reports whether a replica has promised a newer ballot.
+func (w *Writer) Superseded() bool { return w.phase == deposed }
 
 // Commit returns the newest committed index.
 func (w *Writer) Commit() uint64 { return w.commit }
@@ -188,14 +189,14 @@
 	return w.Initial
 }
 
-// Silent reports whether a member has said that it never votes again.
-func (w *Writer) Silent(m Member) bool {
+// NonVoting reports whether a member has replied that it will not vote again.
+func (w *Writer) NonVoting(m Member) bool {
 	p := w.peer(m)
 	return p != nil && p.silent
 }
 
-// Changing reports whether a change of the set is under way.
-func (w *Writer) Changing() bool {
+// ChangingMembers reports whether a change of the set is in progress.
+func (w *Writer) ChangingMembers() bool {
 	_, at := w.log.membersAt()
 	return w.learner != nil || at > w.commit
 }
@@ -212,13 +213,13 @@
 		return w.campaign(e.Round)
 	case Propose:
 		return w.propose(Entry{payload: e.Payload})
-	case Admit:
+	case AddMember:
 		return w.admit(e.Member)
-	case Dismiss:
+	case RemoveMember:
 		return w.dismiss(e.Member)
 	case Replied:
 		return w.replied(e)
-	case Lost:
+	case NoReply:
 		if p := w.peer(e.To); p != nil {
 			p.busy = false
 		}
@@ -232,8 +233,8 @@
 	return nil
 }
 
-// Asked returns the number of the newest Confirm.
-func (w *Writer) Asked() uint64 { return w.asked }
+// LastConfirm returns the number of the newest Confirm.
+func (w *Writer) LastConfirm() uint64 { return w.asked }
 
 func (w *Writer) replied(e Replied) []Action {
 	p := w.peer(e.From)
@@ -243,7 +244,7 @@
 	switch r := e.Reply.(type) {
 	case Refused:
 		return w.refused(p, r)
-	case Silent:
+	case NonVoting:
 		p.busy = false
 		p.silent = true
 		return w.giveUpLearner(p)
@@ -270,7 +271,7 @@
 		p.confirmed = max(p.confirmed, r.Nonce)
 		out := append(w.advance(), w.prove()...)
 		return append(out, w.replicate(p)...)
-	case Gap:
+	case Mismatch:
 		if r.Ballot != w.ballot {
 			return nil
 		}
@@ -288,7 +289,7 @@
 		return nil
 	}
 	w.phase = deposed
-	return []Action{Deposed{By: r.Promised}}
+	return []Action{Superseded{By: r.Promised}}
 }
 
 func (w *Writer) see(b Ballot) {
--- a/rockbarrow/matrix/client_test.go
+++ b/rockbarrow/matrix/client_test.go
@@ -115,7 +115,7 @@
 	if n.replica == nil || n.replica.Log().LastIndex() == 0 {
 		_, create := e.(program.CreateRequested)
 		members := owner.Initial(v, runID, "home")
-		return create && members.Has(n.self()) && w.claim(n, true)
+		return create && members.Contains(n.self()) && w.claim(n, true)
 	}
 	b := n.replica.Promised()
 	if b.Instance() == n.name() && b.Incarnation() == n.life {
--- a/rockbarrow/matrix/world_test.go
+++ b/rockbarrow/matrix/world_test.go
@@ -334,7 +334,7 @@
 func (w *world) journal(n *node, to journal.Member, m journal.Message) journal.Reply {
 	mine := to.Is(n.self()) || to.Witness() && to.Incarnation() == n.life
 	if !mine {
-		return journal.Silent{}
+		return journal.NonVoting{}
 	}
 	if n.replica == nil {
 		n.replica = &journal.Replica{Witness: to.Witness()}
@@ -342,7 +342,7 @@
 	reply, change := n.replica.Handle(m)
 	if n.storage != 0 && change.Durable && w.syncFails == n.name() {
 		n.replica.Fail()
-		return journal.Silent{}
+		return journal.NonVoting{}
 	}
 	return reply
 }
--- a/rockbarrow/owner/owner.go
+++ b/rockbarrow/owner/owner.go
@@ -125,15 +125,15 @@
 	switch e := e.(type) {
 	case Start:
 		o.started = now
-		o.writer = journal.Writer{Self: o.Self, Incarnation: o.Incarnation, Initial: o.Initial, Keyed: o.Keyed}
+		o.writer = journal.Writer{Self: o.Self, Incarnation: o.Incarnation, Initial: o.Initial, ConcurrentCreate: o.Keyed}
 		if o.Replica != nil {
-			o.writer.Adopt(o.Replica)
+			o.writer.Restore(o.Replica)
 		}
 		return o.journal(now, journal.Campaign{Round: e.Round})
 	case Replied:
 		return o.journal(now, journal.Replied{From: e.From, Reply: e.Reply})
 	case Lost:
-		return o.journal(now, journal.Lost{To: e.To})
+		return o.journal(now, journal.NoReply{To: e.To})
 	case Asked:
 		return o.ask(now, e.Event)
 	case Ticked:
@@ -144,7 +144,7 @@
 
 // ask holds events back until the program has its whole journal.
 func (o *Owner) ask(now time.Time, e program.Event) []Action {
-	if !o.Machine.Loaded() && !o.writer.Deposed() {
+	if !o.Machine.Loaded() && !o.writer.Superseded() {
 		o.early = append(o.early, e)
 		return nil
 	}
@@ -169,13 +169,13 @@
 	if v == nil {
 		return out
 	}
-	if blocked(o.writer.Members(), v, o.writer.Silent) && o.writer.Changing() {
+	if blocked(o.writer.Members(), v, o.writer.NonVoting) && o.writer.ChangingMembers() {
 		out = append(out, o.do(now, o.Machine.Handle(now, program.OwnershipLost{By: o.Self.Instance()}))...)
 		out = append(out, o.sendOn(o.Self.Instance())...)
 		return append(out, Abandoned{})
 	}
-	step := plan(o.writer.Members(), v, o.Run, o.Domain, o.Self, o.writer.Silent)
-	o.whole = step == nil && !o.writer.Changing()
+	step := plan(o.writer.Members(), v, o.Run, o.Domain, o.Self, o.writer.NonVoting)
+	o.whole = step == nil && !o.writer.ChangingMembers()
 	if step != nil {
 		out = append(out, o.journal(now, step)...)
 	}
@@ -208,7 +208,7 @@
 			out = append(out, o.committed(now, a.Entries)...)
 		case journal.Confirmed:
 			out = append(out, o.prove(a.Number)...)
-		case journal.Deposed:
+		case journal.Superseded:
 			out = append(out, o.sendOn(a.By.Instance())...)
 			out = append(out, o.do(now, o.Machine.Handle(now, program.OwnershipLost{By: a.By.Instance()}))...)
 			out = append(out, o.release(now)...)
@@ -250,7 +250,7 @@
 func (o *Owner) do(now time.Time, actions []program.Action) []Action {
 	var out []Action
 	for _, a := range actions {
-		if t, ok := a.(program.Reply); ok && !o.writer.Deposed() && needsProof(t) {
+		if t, ok := a.(program.Reply); ok && !o.writer.Superseded() && needsProof(t) {
 			out = append(out, o.confirm(now, t)...)
 			continue
 		}
@@ -278,7 +278,7 @@
 // confirm keeps an answer back until a majority has confirmed the ownership.
 func (o *Owner) confirm(now time.Time, t program.Reply) []Action {
 	out := o.journal(now, journal.Confirm{})
-	o.unproven = append(o.unproven, unproven{number: o.writer.Asked(), tell: t})
+	o.unproven = append(o.unproven, unproven{number: o.writer.LastConfirm(), tell: t})
 	return out
 }
 
--- a/rockbarrow/owner/plan.go
+++ b/rockbarrow/owner/plan.go
@@ -120,7 +120,7 @@
 }
 
 func seated(members journal.Members, i roster.Instance) bool {
-	return members.Has(i.Member()) || members.Has(witness(i))
+	return members.Contains(i.Member()) || members.Contains(witness(i))
 }
 
 // plan returns the next change of the members, or nil when they are as they
@@ -132,7 +132,7 @@
 	c.dead = c.dead.Without(self)
 	// Nothing else commits while the only disk of the set is lost.
 	if m, ok := c.lostDisk(v, silent); ok && !c.disk && c.present >= 2 {
-		return journal.Dismiss{Member: m}
+		return journal.RemoveMember{Member: m}
 	}
 	if len(members) < maxMembers {
 		if e := admit(c); e != nil {
@@ -140,10 +140,10 @@
 		}
 	}
 	if len(c.dead) > 0 && c.enough() {
-		return journal.Dismiss{Member: c.dead[0]}
+		return journal.RemoveMember{Member: c.dead[0]}
 	}
 	if len(c.dead) == 0 && len(c.witnesses) > 0 && c.copies >= copies {
-		return journal.Dismiss{Member: c.witnesses[0]}
+		return journal.RemoveMember{Member: c.witnesses[0]}
 	}
 	if len(c.dead) == 0 && c.copies > copies {
 		return surplus(c, self)
@@ -193,15 +193,15 @@
 	if !c.disk {
 		for _, i := range c.spareCopies {
 			if i.Disk() {
-				return journal.Admit{Member: i.Member()}
+				return journal.AddMember{Member: i.Member()}
 			}
 		}
 	}
 	if c.copies < copies && len(c.spareCopies) > 0 {
-		return journal.Admit{Member: c.spareCopies[0].Member()}
+		return journal.AddMember{Member: c.spareCopies[0].Member()}
 	}
 	if len(c.live) < copies && len(c.witnesses) == 0 && len(c.spareWitness) > 0 {
-		return journal.Admit{Member: witness(c.spareWitness[0])}
+		return journal.AddMember{Member: witness(c.spareWitness[0])}
 	}
 	return nil
 }
@@ -233,7 +233,7 @@
 		if m.Witness() || m.Is(self) || (m.Disk() && disks == 1) {
 			continue
 		}
-		return journal.Dismiss{Member: m}
+		return journal.RemoveMember{Member: m}
 	}
 	return nil
 }
--- a/rockbarrow/peer/wire/wire.go
+++ b/rockbarrow/peer/wire/wire.go
@@ -179,11 +179,11 @@
 		}
 	case journal.Accepted:
 		out.Kind, out.Ballot, out.Index, out.Nonce = kindAccepted, Ballot(r.Ballot), r.Index, r.Nonce
-	case journal.Gap:
+	case journal.Mismatch:
 		out.Kind, out.Ballot, out.Index = kindGap, Ballot(r.Ballot), r.Index
 	case journal.Refused:
 		out.Kind, out.Ballot = kindRefused, Ballot(r.Promised)
-	case journal.Silent:
+	case journal.NonVoting:
 		out.Kind = kindSilent
 	}
 	return out
@@ -205,11 +205,11 @@
 	case kindAccepted:
 		return journal.Accepted{Ballot: b, Index: p.GetIndex(), Nonce: p.GetNonce()}
 	case kindGap:
-		return journal.Gap{Ballot: b, Index: p.GetIndex()}
+		return journal.Mismatch{Ballot: b, Index: p.GetIndex()}
 	case kindRefused:
 		return journal.Refused{Promised: b}
 	case kindSilent:
-		return journal.Silent{}
+		return journal.NonVoting{}
 	}
 	return nil
 }
--- a/rockbarrow/peer/wire/wire_test.go
+++ b/rockbarrow/peer/wire/wire_test.go
@@ -38,7 +38,7 @@
 	messages = append(messages, journal.Fetch{Ballot: b, After: 1, Limit: 5}, journal.Install{Ballot: b, Base: journal.RestoreBase(3, b, journal.Digest{1}, m, []byte("s"))})
 	fetched, _ := replicas["b"].Handle(journal.Fetch{Ballot: b, Limit: 9})
 	refused, _ := replicas["b"].Handle(journal.Prepare{})
-	replies = append(replies, fetched, refused, journal.Gap{Ballot: b, Index: 4}, journal.Silent{})
+	replies = append(replies, fetched, refused, journal.Mismatch{Ballot: b, Index: 4}, journal.NonVoting{})
 	if len(messages) < 8 {
 		t.Fatalf("only %d messages were made", len(messages))
 	}
