--- a/rockbarrow/journal/ballot.go
+++ b/rockbarrow/journal/ballot.go
@@ -7,8 +7,9 @@
 	"fmt"
 )
 
-// Member is one life of an instance's journal storage. The zero incarnation
-// names an instance whose storage is not known; it holds a seat and never votes.
+// Member is an instance together with the incarnation of its journal storage. A
+// member with incarnation 0 has unknown storage; it counts for the majority but
+// never votes.
 type Member struct {
 	instance    string
 	incarnation uint64
@@ -16,7 +17,7 @@
 	disk        bool
 }
 
-// NewMember returns the member for one life of an instance's storage.
+// NewMember returns the member for an incarnation of an instance's storage.
 func NewMember(instance string, incarnation uint64) Member {
 	return Member{instance: instance, incarnation: incarnation}
 }
@@ -24,22 +25,22 @@
 // Instance returns the name of the instance.
 func (m Member) Instance() string { return m.instance }
 
-// Incarnation returns the number of this life of the storage.
+// Incarnation returns the incarnation of the storage.
 func (m Member) Incarnation() uint64 { return m.incarnation }
 
-// Witness reports whether the member votes without holding payloads.
+// Witness reports whether the member votes but does not store payloads.
 func (m Member) Witness() bool { return m.witness }
 
-// Disk reports whether the member answers only after a sync.
+// Disk reports whether the member syncs to disk before it replies.
 func (m Member) Disk() bool { return m.disk }
 
-// WithWitness returns the member as a holder of digests only.
+// WithWitness returns the member as a witness, which stores digests only.
 func (m Member) WithWitness() Member { m.witness = true; return m }
 
-// WithDisk returns the member as one that syncs before it answers.
+// WithDisk returns the member as one that syncs before it replies.
 func (m Member) WithDisk() Member { m.disk = true; return m }
 
-// Is reports whether both name the same life of the same storage.
+// Is reports whether both members have the same instance and incarnation.
 func (m Member) Is(o Member) bool {
 	return m.instance == o.instance && m.incarnation == o.incarnation
 }
@@ -50,7 +51,7 @@
 // Members is the set of members of a journal, in a fixed order.
 type Members []Member
 
-// Has reports whether the set holds this life of the storage.
+// Contains reports whether the set contains a member.
 func (s Members) Contains(m Member) bool {
 	for _, o := range s {
 		if o.Is(m) {
@@ -60,10 +61,10 @@
 	return false
 }
 
-// Majority returns how many votes decide.
+// Majority returns the number of votes that form a majority.
 func (s Members) Majority() int { return len(s)/2 + 1 }
 
-// Without returns the set less one member.
+// Without returns the set without a member.
 func (s Members) Without(m Member) Members {
 	out := make(Members, 0, len(s))
 	for _, o := range s {
@@ -74,20 +75,20 @@
 	return out
 }
 
-// With returns the set and one member more.
+// With returns the set with one more member.
 func (s Members) With(m Member) Members {
 	return append(append(make(Members, 0, len(s)+1), s...), m)
 }
 
-// tally counts the members that hold an entry.
-type tally struct {
+// ackCount counts the members that have acknowledged an entry.
+type ackCount struct {
 	votes, copies, synced, disks int
 }
 
-// count counts acknowledgements. Copies of members that are just being
-// dismissed, extra, count as copies but not as votes.
-func (s Members) count(acked func(Member) bool, extra int) tally {
-	t := tally{copies: extra}
+// countAcks counts acknowledgements. The copies of members whose removal has not
+// committed, extra, count as copies but not as votes.
+func (s Members) countAcks(acked func(Member) bool, extra int) ackCount {
+	t := ackCount{copies: extra}
 	for _, m := range s {
 		if m.disk {
 			t.disks++
@@ -106,41 +107,42 @@
 	return t
 }
 
-// durable reports whether an entry satisfies the durability rule: a majority of
-// votes, and one synced copy where a member has a disk, or else two copies.
-func (t tally) durable(majority int) bool {
+// durable reports whether an entry may commit: it has a majority of votes, and
+// one synced copy if a member has a disk, or otherwise two copies.
+func (t ackCount) durable(majority int) bool {
 	if t.votes < majority {
 		return false
 	}
 	return t.synced > 0 || t.disks == 0 && t.copies >= 2
 }
 
-// kept reports whether what a writer adopted is safe to act on: one synced copy,
-// or two copies in memory also where the only disk was lost.
-func (t tally) kept() bool { return t.synced > 0 || t.copies >= 2 }
+// safeToDeliver reports whether committed entries may be delivered: they have one
+// synced copy, or two copies in memory even if the only disk was lost.
+func (t ackCount) safeToDeliver() bool { return t.synced > 0 || t.copies >= 2 }
 
-// Ballot orders writers totally. The zero ballot is older than every other.
+// Ballot identifies a writer. Ballots are totally ordered, and the zero ballot is
+// the oldest.
 type Ballot struct {
 	round       uint64
 	instance    string
 	incarnation uint64
 }
 
-// NewBallot returns the ballot of a round for a writer.
+// NewBallot returns the ballot of a writer for a round.
 func NewBallot(round uint64, m Member) Ballot {
 	return Ballot{round: round, instance: m.instance, incarnation: m.incarnation}
 }
 
-// Round returns the round, which a writer raises over all it has seen.
+// Round returns the round, which a writer chooses above all that it has seen.
 func (b Ballot) Round() uint64 { return b.round }
 
-// Instance returns the writer's instance.
+// Instance returns the name of the writer's instance.
 func (b Ballot) Instance() string { return b.instance }
 
 // Incarnation returns the writer's incarnation.
 func (b Ballot) Incarnation() uint64 { return b.incarnation }
 
-// Compare returns -1, 0 or +1 as b is older than, equal to or newer than o.
+// Compare returns -1, 0 or +1 if b is older than, equal to or newer than o.
 func (b Ballot) Compare(o Ballot) int {
 	return cmp.Or(
 		cmp.Compare(b.round, o.round),
--- a/rockbarrow/journal/campaign.go
+++ b/rockbarrow/journal/campaign.go
@@ -6,20 +6,21 @@
 
 func (w *Writer) campaign(round uint64) []Action {
 	w.ballot = Ballot{
-		round:       max(w.seen.round+1, round),
+		round:       max(w.newestBallot.round+1, round),
 		instance:    w.Self.instance,
 		incarnation: w.Incarnation,
 	}
-	w.seen = w.ballot
+	w.newestBallot = w.ballot
 	w.phase = preparing
-	w.handed = w.log.base.index
+	w.delivered = w.log.base.index
 	w.peers = nil
 	w.learner = nil
-	w.proven = w.asked
+	w.confirmsAnswered = w.confirmsRequested
 	return w.prepareAll()
 }
 
-// prepareAll sends Prepare to members that have neither promised nor been asked.
+// prepareAll sends Prepare to the members that have not promised and have no
+// message in flight.
 func (w *Writer) prepareAll() []Action {
 	var out []Action
 	for _, m := range w.Members() {
@@ -28,16 +29,16 @@
 			p = &progress{member: m}
 			w.peers = append(w.peers, p)
 		}
-		if p.promised == nil && !p.busy && !p.silent && m.incarnation != 0 {
-			p.busy = true
+		if p.promised == nil && !p.inFlight && !p.nonVoting && m.incarnation != 0 {
+			p.inFlight = true
 			out = append(out, Send{To: m, Message: Prepare{Ballot: w.ballot}})
 		}
 	}
 	return out
 }
 
-// adoptBest picks the newest promised log once a majority has promised.
-func (w *Writer) adoptBest() []Action {
+// adoptNewestLog adopts the newest log once a majority has promised.
+func (w *Writer) adoptNewestLog() []Action {
 	if w.phase != preparing {
 		return nil
 	}
@@ -49,8 +50,8 @@
 		return w.prepareAll()
 	}
 	index, _, digest := w.log.Last()
-	if best.promised.LastIndex == index && best.promised.LastDigest == digest && !w.hasStripped() {
-		return w.open()
+	if best.promised.LastIndex == index && best.promised.LastDigest == digest && !w.lacksPayloads() {
+		return w.appendOpeningEntry()
 	}
 	w.phase = fetching
 	w.source = best.member
@@ -58,8 +59,8 @@
 	return w.fetchMore(best)
 }
 
-// promisedByMajority also holds an empty keyed journal to the rule that no
-// earlier promise can be lost.
+// promisedByMajority reports whether a majority has promised. If another writer
+// may create the same journal, an empty log must also be provably empty.
 func (w *Writer) promisedByMajority() bool {
 	members := w.Members()
 	votes, last := 0, uint64(0)
@@ -72,14 +73,15 @@
 	if votes < members.Majority() {
 		return false
 	}
-	return last > 0 || !w.ConcurrentCreate || w.surelyEmpty(members)
+	return last > 0 || !w.ConcurrentCreate || w.provablyEmpty(members)
 }
 
-// surelyEmpty reports whether no entry can have committed that the promises do
-// not show: enough promises are of replicas that forgot nothing; or a disk's is,
-// without which nothing commits; or every member that holds copies promised, of
-// which two have each committed entry.
-func (w *Writer) surelyEmpty(members Members) bool {
+// provablyEmpty reports whether no entry can have committed, given that all
+// promises are for an empty log. That is so if a majority of the promises come
+// from replicas that lost no state, if one comes from a disk that lost no state,
+// as no entry commits without it, or if all members that store copies promised,
+// as every committed entry has two copies.
+func (w *Writer) provablyEmpty(members Members) bool {
 	settled, copies, promised := 0, 0, 0
 	for _, m := range members {
 		if !m.witness {
@@ -102,15 +104,15 @@
 	return settled >= members.Majority() || promised == copies
 }
 
-// bestPromise returns the member with the newest log that also holds payloads,
-// or nil when only witnesses hold the newest.
+// bestPromise returns the member with the newest log, or nil if only witnesses
+// have it, as they store no payloads.
 func (w *Writer) bestPromise() *progress {
 	var best *progress
 	for _, p := range w.peers {
 		if p.promised == nil {
 			continue
 		}
-		if best == nil || newer(p, best) {
+		if best == nil || hasNewerLog(p, best) {
 			best = p
 		}
 	}
@@ -120,8 +122,9 @@
 	return best
 }
 
-// newer prefers the higher last ballot, then the longer log, then payloads.
-func newer(p, o *progress) bool {
+// hasNewerLog prefers the newer last ballot, then the longer log, then a member
+// that stores payloads.
+func hasNewerLog(p, o *progress) bool {
 	c := cmp.Or(
 		p.promised.LastBallot.Compare(o.promised.LastBallot),
 		cmp.Compare(p.promised.LastIndex, o.promised.LastIndex),
@@ -132,21 +135,21 @@
 	return c > 0
 }
 
-func (w *Writer) hasStripped() bool {
+func (w *Writer) lacksPayloads() bool {
 	for _, e := range w.log.entries {
-		if e.stripped() {
+		if e.payloadMissing() {
 			return true
 		}
 	}
 	return false
 }
 
-// fetchMore asks for what follows the committed prefix, which is equal in
-// every log.
+// fetchMore fetches the entries after the committed prefix, which is equal in
+// all logs.
 func (w *Writer) fetchMore(p *progress) []Action {
-	p.busy = true
+	p.inFlight = true
 	after := w.commit
-	if w.hasStripped() {
+	if w.lacksPayloads() {
 		after = w.log.base.index
 	}
 	return []Action{Send{To: p.member, Message: Fetch{Ballot: w.ballot, After: after, Limit: fetchLimit}}}
@@ -159,11 +162,11 @@
 	if r.Base != nil && r.Base.index > w.log.base.index {
 		w.log = Log{base: *r.Base}
 		w.commit = max(w.commit, r.Base.index)
-		w.handed = r.Base.index
+		w.delivered = r.Base.index
 	}
 	progressed := false
 	for _, e := range r.Entries {
-		ok, _ := w.putFetched(e)
+		ok, _ := w.storeFetched(e)
 		if !ok {
 			break
 		}
@@ -176,7 +179,7 @@
 		reached = max(r.After, w.log.base.index)
 	}
 	if reached < w.sourceIndex && progressed {
-		p.busy = true
+		p.inFlight = true
 		return []Action{Send{To: p.member, Message: Fetch{Ballot: w.ballot, After: reached, Limit: fetchLimit}}}
 	}
 	if reached < w.sourceIndex {
@@ -185,19 +188,20 @@
 		return w.prepareAll()
 	}
 	w.truncate(w.sourceIndex)
-	// The fetched log may name other members, and newer promises may have come
-	// meanwhile, so both are judged again.
+	// The fetched log may have other members, and newer promises may have arrived
+	// in the meantime.
 	w.phase = preparing
-	return w.adoptBest()
+	return w.adoptNewestLog()
 }
 
-// putFetched also replaces an equal entry whose payload is missing here.
-func (w *Writer) putFetched(e Entry) (bool, bool) {
-	if old, ok := w.log.Entry(e.index); ok && old.digest == e.digest && old.stripped() && !e.stripped() {
+// storeFetched stores an entry, also if it only adds the payload of an entry that
+// the log has without one.
+func (w *Writer) storeFetched(e Entry) (bool, bool) {
+	if old, ok := w.log.Entry(e.index); ok && old.digest == e.digest && old.payloadMissing() && !e.payloadMissing() {
 		w.log.entries[e.index-w.log.base.index-1] = e
 		return true, true
 	}
-	return w.log.put(e)
+	return w.log.store(e)
 }
 
 func (w *Writer) truncate(index uint64) {
@@ -207,8 +211,8 @@
 	}
 }
 
-// open appends the writer's own first entry to the adopted log.
-func (w *Writer) open() []Action {
+// appendOpeningEntry appends the writer's first entry to the adopted log.
+func (w *Writer) appendOpeningEntry() []Action {
 	w.phase = opening
 	for _, p := range w.peers {
 		p.next = w.log.LastIndex() + 1
@@ -218,7 +222,7 @@
 	if w.log.Members() == nil {
 		e.members = w.Initial
 	}
-	out := w.write(e)
-	w.opened = w.log.LastIndex()
+	out := w.appendEntry(e)
+	w.openingIndex = w.log.LastIndex()
 	return out
 }
--- a/rockbarrow/journal/errors.go
+++ b/rockbarrow/journal/errors.go
@@ -4,13 +4,14 @@
 
 import "fmt"
 
-// CorruptError says that stored entries do not chain.
+// CorruptError reports stored entries that violate the digest chain or lie below
+// the commit index.
 type CorruptError struct {
-	// Index is the first entry that does not fit.
+	// Index is the first invalid entry.
 	Index uint64
 }
 
-// Error describes the place of the corruption.
+// Error returns the index of the corrupt entry.
 func (e *CorruptError) Error() string {
-	return fmt.Sprintf("journal: entry %d does not fit the digest chain", e.Index)
+	return fmt.Sprintf("journal: entry %d violates the digest chain", e.Index)
 }
--- a/rockbarrow/journal/journal_test.go
+++ b/rockbarrow/journal/journal_test.go
@@ -7,120 +7,122 @@
 	"testing"
 )
 
-// letter is one message or reply on its way between a writer and a replica.
-type letter struct {
+// envelope is a message or reply in transit between a writer and a replica.
+type envelope struct {
 	writer  int
 	to      Member
 	message Message
 	reply   Reply
 }
 
-// bench steps writers and replicas with every letter in the test's hands.
-type bench struct {
+// cluster steps writers and replicas. The test decides on the delivery of every
+// message.
+type cluster struct {
 	t        testing.TB
 	replicas map[Member]*Replica
 	writers  []*Writer
-	pending  []letter
+	pending  []envelope
 	round    uint64
-	// history is the agreed sequence of digests that any writer called committed.
-	history []Digest
-	// served counts writers that came to serve.
+	// committedDigests are the digests of all entries that a writer has committed.
+	committedDigests []Digest
+	// served counts the writers that have started to serve.
 	served int
-	broken string
+	// violation describes the first conflict between committed entries, or is "".
+	violation string
 }
 
-func newBench(t testing.TB, members ...Member) *bench {
-	b := &bench{t: t, replicas: map[Member]*Replica{}}
+func newCluster(t testing.TB, members ...Member) *cluster {
+	c := &cluster{t: t, replicas: map[Member]*Replica{}}
 	for _, m := range members {
-		b.replicas[key(m)] = &Replica{Witness: m.witness}
+		c.replicas[memberKey(m)] = &Replica{Witness: m.witness}
 	}
-	return b
+	return c
 }
 
-// key drops the marks so that a member is found by its life alone.
-func key(m Member) Member { return NewMember(m.instance, m.incarnation) }
+// memberKey returns the member without its witness and disk flags.
+func memberKey(m Member) Member { return NewMember(m.instance, m.incarnation) }
 
-func (b *bench) writer(self Member, initial Members) int {
-	b.round++
-	w := &Writer{Self: self, Initial: initial, Incarnation: b.round}
-	w.Restore(b.replicas[key(self)])
-	b.writers = append(b.writers, w)
-	return len(b.writers) - 1
+func (c *cluster) writer(self Member, initial Members) int {
+	c.round++
+	w := &Writer{Self: self, Initial: initial, Incarnation: c.round}
+	w.Restore(c.replicas[memberKey(self)])
+	c.writers = append(c.writers, w)
+	return len(c.writers) - 1
 }
 
-func (b *bench) step(i int, e Event) {
-	for _, a := range b.writers[i].Handle(e) {
+func (c *cluster) step(i int, e Event) {
+	for _, a := range c.writers[i].Handle(e) {
 		switch a := a.(type) {
 		case Send:
-			b.pending = append(b.pending, letter{writer: i, to: a.To, message: a.Message})
+			c.pending = append(c.pending, envelope{writer: i, to: a.To, message: a.Message})
 		case Serving:
-			b.served++
+			c.served++
 		case Committed:
-			b.committed(a.Entries)
+			c.committed(a.Entries)
 		}
 	}
 }
 
-// committed checks that no two writers ever disagree on an index.
-func (b *bench) committed(entries []Entry) {
+// committed checks that no two writers commit different entries at an index.
+func (c *cluster) committed(entries []Entry) {
 	for _, e := range entries {
 		at := int(e.index) - 1
-		if at < len(b.history) {
-			if b.history[at] != e.digest {
-				b.broken = fmt.Sprintf("entry %d committed twice with different content", e.index)
+		if at < len(c.committedDigests) {
+			if c.committedDigests[at] != e.digest {
+				c.violation = fmt.Sprintf("entry %d committed twice with different content", e.index)
 			}
 			continue
 		}
-		if at > len(b.history) {
-			b.broken = fmt.Sprintf("entry %d committed after a hole", e.index)
+		if at > len(c.committedDigests) {
+			c.violation = fmt.Sprintf("entry %d committed before its predecessor", e.index)
 			return
 		}
-		b.history = append(b.history, e.digest)
+		c.committedDigests = append(c.committedDigests, e.digest)
 	}
 }
 
-func (b *bench) take(i int) letter {
-	l := b.pending[i]
-	b.pending = append(b.pending[:i:i], b.pending[i+1:]...)
-	return l
+func (c *cluster) takePending(i int) envelope {
+	e := c.pending[i]
+	c.pending = append(c.pending[:i:i], c.pending[i+1:]...)
+	return e
 }
 
-func (b *bench) deliver(l letter) {
-	if l.reply != nil {
-		b.step(l.writer, Replied{From: l.to, Reply: l.reply})
+func (c *cluster) deliver(e envelope) {
+	if e.reply != nil {
+		c.step(e.writer, Replied{From: e.to, Reply: e.reply})
 		return
 	}
-	r := b.replicas[key(l.to)]
+	r := c.replicas[memberKey(e.to)]
 	if r == nil {
-		b.pending = append(b.pending, letter{writer: l.writer, to: l.to, reply: NonVoting{}})
+		c.pending = append(c.pending, envelope{writer: e.writer, to: e.to, reply: NonVoting{}})
 		return
 	}
-	reply, _ := r.Handle(l.message)
-	b.pending = append(b.pending, letter{writer: l.writer, to: l.to, reply: reply})
+	reply, _ := r.Handle(e.message)
+	c.pending = append(c.pending, envelope{writer: e.writer, to: e.to, reply: reply})
 }
 
-func (b *bench) lose(l letter) { b.step(l.writer, NoReply{To: l.to}) }
+func (c *cluster) drop(e envelope) { c.step(e.writer, NoReply{To: e.to}) }
 
-func (b *bench) drain() {
-	for n := 0; len(b.pending) > 0 && n < 10_000; n++ {
-		b.deliver(b.take(0))
+func (c *cluster) deliverAll() {
+	for n := 0; len(c.pending) > 0 && n < 10_000; n++ {
+		c.deliver(c.takePending(0))
 	}
 }
 
-func three() (Member, Member, Member) {
+func threeMembers() (Member, Member, Member) {
 	return NewMember("a", 1), NewMember("b", 1), NewMember("c", 1)
 }
 
 func TestWriterServesAndCommits(t *testing.T) {
-	m1, m2, m3 := three()
-	b := newBench(t, m1, m2, m3)
-	w := b.writer(m1, Members{m1, m2, m3})
-	b.step(w, Campaign{})
-	b.drain()
-	b.step(w, Propose{Payload: []byte("x")})
-	b.drain()
-	if !b.writers[w].Serves() || len(b.history) != 2 {
-		t.Fatalf("serves %v with %d committed, want true with 2", b.writers[w].Serves(), len(b.history))
+	m1, m2, m3 := threeMembers()
+	c := newCluster(t, m1, m2, m3)
+	w := c.writer(m1, Members{m1, m2, m3})
+	c.step(w, Campaign{})
+	c.deliverAll()
+	c.step(w, Propose{Payload: []byte("x")})
+	c.deliverAll()
+	if !c.writers[w].Serves() || len(c.committedDigests) != 2 {
+		t.Fatalf("serves %v with %d committed, want true with 2", c.writers[w].Serves(), len(c.committedDigests))
 	}
 }
 
@@ -128,205 +130,204 @@
 	m1 := NewMember("a", 1)
 	m2 := NewMember("b", 1)
 	m3 := NewMember("c", 1).WithWitness()
-	b := newBench(t, m1, m2, m3)
-	w := b.writer(m1, Members{m1, m2, m3})
-	b.step(w, Campaign{})
-	b.drain()
-	b.step(w, Propose{Payload: []byte("x")})
-	for len(b.pending) > 0 {
-		l := b.take(0)
-		if l.to.Is(m2) {
+	c := newCluster(t, m1, m2, m3)
+	w := c.writer(m1, Members{m1, m2, m3})
+	c.step(w, Campaign{})
+	c.deliverAll()
+	c.step(w, Propose{Payload: []byte("x")})
+	for len(c.pending) > 0 {
+		e := c.takePending(0)
+		if e.to.Is(m2) {
 			continue
 		}
-		b.deliver(l)
+		c.deliver(e)
 	}
-	if got := b.writers[w].Commit(); got != 1 {
+	if got := c.writers[w].Commit(); got != 1 {
 		t.Fatalf("commit %d with one copy and a witness's vote, want 1", got)
 	}
 }
 
-func TestDiskMustSync(t *testing.T) {
-	m1, m2, _ := three()
+func TestCommitWaitsForDisk(t *testing.T) {
+	m1, m2, _ := threeMembers()
 	m3 := NewMember("c", 1).WithDisk()
-	b := newBench(t, m1, m2, m3)
-	w := b.writer(m1, Members{m1, m2, m3})
-	b.step(w, Campaign{})
-	b.drain()
-	b.step(w, Propose{Payload: []byte("x")})
-	var disk letter
-	for len(b.pending) > 0 {
-		l := b.take(0)
-		if l.to.Is(m3) {
-			disk = l
+	c := newCluster(t, m1, m2, m3)
+	w := c.writer(m1, Members{m1, m2, m3})
+	c.step(w, Campaign{})
+	c.deliverAll()
+	c.step(w, Propose{Payload: []byte("x")})
+	var disk envelope
+	for len(c.pending) > 0 {
+		e := c.takePending(0)
+		if e.to.Is(m3) {
+			disk = e
 			continue
 		}
-		b.deliver(l)
+		c.deliver(e)
 	}
-	if got := b.writers[w].Commit(); got != 1 {
+	if got := c.writers[w].Commit(); got != 1 {
 		t.Fatalf("commit %d before the disk answered, want 1", got)
 	}
-	b.deliver(disk)
-	b.drain()
-	if got := b.writers[w].Commit(); got != 2 {
+	c.deliver(disk)
+	c.deliverAll()
+	if got := c.writers[w].Commit(); got != 2 {
 		t.Fatalf("commit %d after the disk answered, want 2", got)
 	}
 }
 
 func TestWitnessHoldsNoPayload(t *testing.T) {
-	m1, m2, _ := three()
+	m1, m2, _ := threeMembers()
 	m3 := NewMember("c", 1).WithWitness()
-	b := newBench(t, m1, m2, m3)
-	w := b.writer(m1, Members{m1, m2, m3})
-	b.step(w, Campaign{})
-	b.drain()
-	b.step(w, Propose{Payload: []byte("secret")})
-	for _, l := range b.pending {
-		if a, ok := l.message.(Append); ok && l.to.Is(m3) && a.Entries[0].payload != nil {
+	c := newCluster(t, m1, m2, m3)
+	w := c.writer(m1, Members{m1, m2, m3})
+	c.step(w, Campaign{})
+	c.deliverAll()
+	c.step(w, Propose{Payload: []byte("secret")})
+	for _, e := range c.pending {
+		if a, ok := e.message.(Append); ok && e.to.Is(m3) && a.Entries[0].payload != nil {
 			t.Fatal("a payload was sent to a witness")
 		}
 	}
-	b.drain()
-	e, ok := b.replicas[key(m3)].log.Entry(2)
-	if !ok || !e.stripped() {
+	c.deliverAll()
+	e, ok := c.replicas[memberKey(m3)].log.Entry(2)
+	if !ok || !e.payloadMissing() {
 		t.Fatalf("witness entry %+v, want one without payload", e)
 	}
 }
 
 func TestSecondLossRightAfterRepair(t *testing.T) {
-	m1, m2, m3 := three()
+	m1, m2, m3 := threeMembers()
 	m4 := NewMember("d", 1)
-	b := newBench(t, m1, m2, m3, m4)
-	w := b.writer(m1, Members{m1, m2, m3})
-	b.step(w, Campaign{})
-	b.drain()
-	b.step(w, Propose{Payload: []byte("x")})
-	b.drain()
-	delete(b.replicas, m3)
-	b.step(w, AddMember{Member: m4})
-	b.drain()
-	b.step(w, RemoveMember{Member: m3})
-	b.drain()
-	if got := b.writers[w].Members(); len(got) != 3 || !got.Contains(m4) {
+	c := newCluster(t, m1, m2, m3, m4)
+	w := c.writer(m1, Members{m1, m2, m3})
+	c.step(w, Campaign{})
+	c.deliverAll()
+	c.step(w, Propose{Payload: []byte("x")})
+	c.deliverAll()
+	delete(c.replicas, m3)
+	c.step(w, AddMember{Member: m4})
+	c.deliverAll()
+	c.step(w, RemoveMember{Member: m3})
+	c.deliverAll()
+	if got := c.writers[w].Members(); len(got) != 3 || !got.Contains(m4) {
 		t.Fatalf("members %v, want a, b and d", got)
 	}
-	delete(b.replicas, m1)
-	next := b.writer(m4, nil)
-	b.step(next, Campaign{})
-	b.drain()
-	if !b.writers[next].Serves() {
+	delete(c.replicas, m1)
+	next := c.writer(m4, nil)
+	c.step(next, Campaign{})
+	c.deliverAll()
+	if !c.writers[next].Serves() {
 		t.Fatal("the repaired journal does not serve after the second loss")
 	}
-	if e, ok := b.writers[next].log.Entry(2); !ok || string(e.payload) != "x" {
-		t.Fatal("the entry before the repair is gone")
+	if e, ok := c.writers[next].log.Entry(2); !ok || string(e.payload) != "x" {
+		t.Fatal("the entry before the repair is lost")
 	}
 }
 
-func TestSingleCopyAdmitsAnotherBeforeItHandsOver(t *testing.T) {
-	m1, m2, _ := three()
+func TestSingleCopyAddsMemberBeforeDelivery(t *testing.T) {
+	m1, m2, _ := threeMembers()
 	m3 := NewMember("c", 1).WithWitness()
 	m4 := NewMember("b", 2)
-	b := newBench(t, m1, m2, m3, m4)
-	w := b.writer(m1, Members{m1, m2, m3})
-	b.step(w, Campaign{})
-	b.drain()
-	b.step(w, Propose{Payload: []byte("x")})
-	b.drain()
-	// The first writer and the only other copy's next life are gone one after the
-	// other, as in a rolling restart of a domain of two.
-	delete(b.replicas, m1)
-	next := b.writer(m2, nil)
-	told := len(b.history)
-	b.step(next, Campaign{})
-	b.drain()
-	if !b.writers[next].Serves() || b.writers[next].handed != 0 || len(b.history) != told {
-		t.Fatalf("serves %v and handed %d with a single copy, want true and 0", b.writers[next].Serves(), b.writers[next].handed)
+	c := newCluster(t, m1, m2, m3, m4)
+	w := c.writer(m1, Members{m1, m2, m3})
+	c.step(w, Campaign{})
+	c.deliverAll()
+	c.step(w, Propose{Payload: []byte("x")})
+	c.deliverAll()
+	// A rolling restart of a failure domain of two leaves a single copy.
+	delete(c.replicas, m1)
+	next := c.writer(m2, nil)
+	told := len(c.committedDigests)
+	c.step(next, Campaign{})
+	c.deliverAll()
+	if !c.writers[next].Serves() || c.writers[next].delivered != 0 || len(c.committedDigests) != told {
+		t.Fatalf("serves %v and delivered %d with a single copy, want true and 0", c.writers[next].Serves(), c.writers[next].delivered)
 	}
-	b.step(next, AddMember{Member: m4})
-	b.drain()
-	if b.writers[next].handed < 2 {
-		t.Fatalf("handed %d with two copies, want the payload", b.writers[next].handed)
+	c.step(next, AddMember{Member: m4})
+	c.deliverAll()
+	if c.writers[next].delivered < 2 {
+		t.Fatalf("delivered %d with two copies, want at least 2", c.writers[next].delivered)
 	}
 }
 
-func TestMemberThatLacksNothingIsAdmittedAgain(t *testing.T) {
-	m1, m2, m3 := three()
+func TestRemovedMemberIsAddedAgain(t *testing.T) {
+	m1, m2, m3 := threeMembers()
 	m4 := NewMember("d", 1)
-	b := newBench(t, m1, m2, m3, m4)
-	w := b.writer(m1, Members{m1, m2, m3})
-	b.step(w, Campaign{})
-	b.drain()
-	b.step(w, AddMember{Member: m4})
-	b.drain()
-	b.step(w, RemoveMember{Member: m3})
-	b.drain()
-	b.step(w, AddMember{Member: m3})
-	b.drain()
-	if got := b.writers[w].Members(); !got.Contains(m3) || b.writers[w].ChangingMembers() {
-		t.Fatalf("members %v, changing %v, want c among them again", got, b.writers[w].ChangingMembers())
+	c := newCluster(t, m1, m2, m3, m4)
+	w := c.writer(m1, Members{m1, m2, m3})
+	c.step(w, Campaign{})
+	c.deliverAll()
+	c.step(w, AddMember{Member: m4})
+	c.deliverAll()
+	c.step(w, RemoveMember{Member: m3})
+	c.deliverAll()
+	c.step(w, AddMember{Member: m3})
+	c.deliverAll()
+	if got := c.writers[w].Members(); !got.Contains(m3) || c.writers[w].ChangingMembers() {
+		t.Fatalf("members %v, changing %v, want c among them again", got, c.writers[w].ChangingMembers())
 	}
 }
 
-func TestFreshReplicaCannotHideAKeyedJournal(t *testing.T) {
-	m1, m2, m3 := three()
-	b := newBench(t, m1, m2, m3)
-	w := b.writer(m1, Members{m1, m2, m3})
-	b.writers[w].ConcurrentCreate = true
-	b.step(w, Campaign{})
-	for len(b.pending) > 0 {
-		l := b.take(0)
-		if !l.to.Is(m3) {
-			b.deliver(l)
+func TestFreshReplicaCannotHideExistingJournal(t *testing.T) {
+	m1, m2, m3 := threeMembers()
+	c := newCluster(t, m1, m2, m3)
+	w := c.writer(m1, Members{m1, m2, m3})
+	c.writers[w].ConcurrentCreate = true
+	c.step(w, Campaign{})
+	for len(c.pending) > 0 {
+		e := c.takePending(0)
+		if !e.to.Is(m3) {
+			c.deliver(e)
 		}
 	}
-	reborn := NewMember("b", 2)
-	delete(b.replicas, m2)
-	b.replicas[reborn] = &Replica{Fresh: true}
-	second := b.writer(m3, Members{m1, reborn, m3})
-	b.writers[second].ConcurrentCreate = true
-	b.step(second, Campaign{})
-	for len(b.pending) > 0 {
-		l := b.take(0)
-		if !l.to.Is(m1) {
-			b.deliver(l)
+	restarted := NewMember("b", 2)
+	delete(c.replicas, m2)
+	c.replicas[restarted] = &Replica{Fresh: true}
+	second := c.writer(m3, Members{m1, restarted, m3})
+	c.writers[second].ConcurrentCreate = true
+	c.step(second, Campaign{})
+	for len(c.pending) > 0 {
+		e := c.takePending(0)
+		if !e.to.Is(m1) {
+			c.deliver(e)
 		}
 	}
-	if b.writers[second].Serves() {
-		t.Fatal("a second creation served beside the first")
+	if c.writers[second].Serves() {
+		t.Fatal("a second writer created the journal again")
 	}
 }
 
-func TestSnapshotReachesALateMember(t *testing.T) {
-	m1, m2, m3 := three()
-	b := newBench(t, m1, m2, m3)
-	w := b.writer(m1, Members{m1, m2, m3})
-	b.step(w, Campaign{})
-	for len(b.pending) > 0 {
-		l := b.take(0)
-		if !l.to.Is(m3) {
-			b.deliver(l)
+func TestSnapshotReachesLaggingMember(t *testing.T) {
+	m1, m2, m3 := threeMembers()
+	c := newCluster(t, m1, m2, m3)
+	w := c.writer(m1, Members{m1, m2, m3})
+	c.step(w, Campaign{})
+	for len(c.pending) > 0 {
+		e := c.takePending(0)
+		if !e.to.Is(m3) {
+			c.deliver(e)
 			continue
 		}
-		b.lose(l)
+		c.drop(e)
 	}
 	for i := range 5 {
-		b.step(w, Propose{Payload: []byte{byte(i)}})
-		for len(b.pending) > 0 {
-			l := b.take(0)
-			if l.to.Is(m3) {
-				b.lose(l)
+		c.step(w, Propose{Payload: []byte{byte(i)}})
+		for len(c.pending) > 0 {
+			e := c.takePending(0)
+			if e.to.Is(m3) {
+				c.drop(e)
 				continue
 			}
-			b.deliver(l)
+			c.deliver(e)
 		}
 	}
-	if !b.writers[w].Compact(4, []byte("state")) {
-		t.Fatal("compaction refused")
+	if !c.writers[w].Compact(4, []byte("state")) {
+		t.Fatal("compaction was rejected")
 	}
-	b.step(w, Resend{})
-	b.drain()
-	b.step(w, Resend{})
-	b.drain()
-	if got := b.replicas[m3].log.Base(); string(got.State()) != "state" || b.replicas[m3].log.LastIndex() != 6 {
-		t.Fatalf("late member has base %d and last %d, want 4 and 6", got.Index(), b.replicas[m3].log.LastIndex())
+	c.step(w, Resend{})
+	c.deliverAll()
+	c.step(w, Resend{})
+	c.deliverAll()
+	if got := c.replicas[m3].log.Base(); string(got.State()) != "state" || c.replicas[m3].log.LastIndex() != 6 {
+		t.Fatalf("lagging member has base %d and last index %d, want 4 and 6", got.Index(), c.replicas[m3].log.LastIndex())
 	}
 }
--- a/rockbarrow/journal/log.go
+++ b/rockbarrow/journal/log.go
@@ -7,27 +7,27 @@
 	"encoding/binary"
 )
 
-// Digest is a SHA-256 over an entry and all before it.
+// Digest is a SHA-256 digest of an entry and all entries before it.
 type Digest [sha256.Size]byte
 
-// Entry is one entry of a log. Its payload is never changed once made.
+// Entry is one entry of a log. Its payload is immutable.
 type Entry struct {
 	index  uint64
 	ballot Ballot
-	// digest covers the previous entry's digest and all fields below, so that
-	// equal digests mean equal logs up to here.
+	// digest covers the previous entry's digest and all other fields, so equal
+	// digests mean equal logs up to this entry.
 	digest        Digest
 	payloadDigest Digest
-	// payload is nil in a witness, which keeps only its digest.
+	// payload is nil in a witness, which stores only its digest.
 	payload []byte
-	// members is the set from this entry on, or nil when it does not change.
+	// members is the set of members from this entry on, or nil if it is unchanged.
 	members Members
 }
 
-// Index returns the entry's place in the log; the first is 1.
+// Index returns the entry's index in the log. The first entry has index 1.
 func (e Entry) Index() uint64 { return e.index }
 
-// Ballot returns the ballot of the writer that made the entry.
+// Ballot returns the ballot of the writer that appended the entry.
 func (e Entry) Ballot() Ballot { return e.ballot }
 
 // Digest returns the digest of the log up to and including the entry.
@@ -36,34 +36,36 @@
 // PayloadDigest returns the digest of the payload alone.
 func (e Entry) PayloadDigest() Digest { return e.payloadDigest }
 
-// Payload returns the application's bytes; nil in a writer's own first entry.
+// Payload returns the application's data, or nil in an opening entry.
 func (e Entry) Payload() []byte { return e.payload }
 
-// Members returns the set that this entry brings into force, or nil.
+// Members returns the set of members from this entry on, or nil if it is
+// unchanged.
 func (e Entry) Members() Members { return e.members }
 
-// RestoreEntry returns an entry as another process or a disk handed it over.
-// [Log] checks its digest before it is kept.
+// RestoreEntry returns an entry that was received from another process or read
+// from a disk. Its digest is checked when it is added to a [Log].
 func RestoreEntry(index uint64, b Ballot, d, payloadDigest Digest, payload []byte, m Members) Entry {
 	return Entry{index: index, ballot: b, digest: d, payloadDigest: payloadDigest, payload: payload, members: m}
 }
 
-// withoutPayload returns what a witness may hold.
+// withoutPayload returns the entry as a witness stores it.
 func (e Entry) withoutPayload() Entry { e.payload = nil; return e }
 
-// stripped reports whether the payload is missing.
-func (e Entry) stripped() bool {
+// payloadMissing reports whether the entry has lost its payload, as in a witness.
+func (e Entry) payloadMissing() bool {
 	return e.payload == nil && e.payloadDigest != sha256.Sum256(nil)
 }
 
-// sealed returns the entry with its digests set, after prev.
-func (e Entry) sealed(prev Digest) Entry {
+// withDigests returns the entry with its digests set, given the digest of the
+// previous entry.
+func (e Entry) withDigests(prev Digest) Entry {
 	e.payloadDigest = sha256.Sum256(e.payload)
-	e.digest = e.chain(prev)
+	e.digest = e.chainDigest(prev)
 	return e
 }
 
-func (e Entry) chain(prev Digest) Digest {
+func (e Entry) chainDigest(prev Digest) Digest {
 	h := sha256.New()
 	h.Write(prev[:])
 	var n [8]byte
@@ -87,7 +89,7 @@
 	return Digest(h.Sum(nil))
 }
 
-// Base stands for all entries up to its index, folded into a state.
+// Base is a snapshot that replaces all entries up to its index.
 type Base struct {
 	index   uint64
 	ballot  Ballot
@@ -96,35 +98,36 @@
 	state   []byte
 }
 
-// Index returns the last index that the state folds; 0 is the empty log.
+// Index returns the index of the last entry in the snapshot, or 0 if the log is
+// empty.
 func (b Base) Index() uint64 { return b.index }
 
-// Ballot returns the ballot of the last folded entry.
+// Ballot returns the ballot of the last entry in the snapshot.
 func (b Base) Ballot() Ballot { return b.ballot }
 
-// Digest returns the digest of the last folded entry.
+// Digest returns the digest of the last entry in the snapshot.
 func (b Base) Digest() Digest { return b.digest }
 
-// Members returns the set in force at the base.
+// Members returns the set of members at the index of the snapshot.
 func (b Base) Members() Members { return b.members }
 
-// State returns the application's snapshot.
+// State returns the state of the application.
 func (b Base) State() []byte { return b.state }
 
-// RestoreBase returns a base as another process or a disk handed it over.
+// RestoreBase returns a base that was received from another process or read from
+// a disk.
 func RestoreBase(index uint64, b Ballot, d Digest, m Members, state []byte) Base {
 	return Base{index: index, ballot: b, digest: d, members: m, state: state}
 }
 
-// Log is a base and the entries after it. The zero value is empty.
+// Log is a base and the entries after it. The zero value is an empty log.
 type Log struct {
 	base Base
-	// entries are consecutive and the first follows the base; each one's digest
-	// chains to the one before it.
+	// entries are consecutive from the base, and their digests form a chain.
 	entries []Entry
 }
 
-// Base returns the snapshot below the entries.
+// Base returns the snapshot that precedes the entries.
 func (l *Log) Base() Base { return l.base }
 
 // Last returns the index, ballot and digest of the newest entry.
@@ -139,7 +142,7 @@
 // LastIndex returns the index of the newest entry.
 func (l *Log) LastIndex() uint64 { return l.base.index + uint64(len(l.entries)) }
 
-// Entry returns the entry at an index that is above the base.
+// Entry returns the entry at an index above the base.
 func (l *Log) Entry(index uint64) (Entry, bool) {
 	if index <= l.base.index || index > l.LastIndex() {
 		return Entry{}, false
@@ -147,7 +150,7 @@
 	return l.entries[index-l.base.index-1], true
 }
 
-// After returns the entries above index, at most limit of them.
+// After returns at most limit entries above index.
 func (l *Log) After(index uint64, limit int) []Entry {
 	if index < l.base.index || index >= l.LastIndex() {
 		return nil
@@ -156,13 +159,13 @@
 	return es[:min(limit, len(es)):min(limit, len(es))]
 }
 
-// Members returns the newest set in the log; nil for an empty log.
+// Members returns the newest set of members, or nil if the log is empty.
 func (l *Log) Members() Members {
 	m, _ := l.membersAt()
 	return m
 }
 
-// membersAt returns the newest set and the index that brought it.
+// membersAt returns the newest set of members and the index of its entry.
 func (l *Log) membersAt() (Members, uint64) {
 	for i := len(l.entries) - 1; i >= 0; i-- {
 		if m := l.entries[i].members; m != nil {
@@ -172,7 +175,7 @@
 	return l.base.members, l.base.index
 }
 
-// membersBefore returns the set in force before the entry at an index.
+// membersBefore returns the set of members before the entry at an index.
 func (l *Log) membersBefore(index uint64) Members {
 	for i := index - 1; i > l.base.index; i-- {
 		if e, ok := l.Entry(i); ok && e.members != nil {
@@ -191,12 +194,12 @@
 	return e.digest, ok
 }
 
-// put stores an entry at its index and drops what stood at or after it, when
-// that was another entry. It reports whether the entry chains and whether it
-// changed the log.
-func (l *Log) put(e Entry) (ok, changed bool) {
+// store stores an entry at its index. If the log has another entry there, that
+// entry and all later ones are dropped. It reports whether the entry continues
+// the digest chain and whether the log has changed.
+func (l *Log) store(e Entry) (ok, changed bool) {
 	prev, ok := l.digestAt(e.index - 1)
-	if !ok || e.chain(prev) != e.digest {
+	if !ok || e.chainDigest(prev) != e.digest {
 		return false, false
 	}
 	if e.payload != nil && sha256.Sum256(e.payload) != e.payloadDigest {
@@ -208,7 +211,7 @@
 	}
 	at := e.index - l.base.index - 1
 	if at < uint64(len(l.entries)) {
-		// Slices that were handed out keep what they show.
+		// Copy the entries, as slices returned by After must not change.
 		l.entries = append(l.entries[:at:at], e)
 		return true, true
 	}
@@ -216,7 +219,7 @@
 	return true, true
 }
 
-// compact folds the entries up to index into state.
+// compact replaces the entries up to index by a snapshot.
 func (l *Log) compact(index uint64, state []byte) bool {
 	e, ok := l.Entry(index)
 	if !ok {
@@ -234,7 +237,7 @@
 	return true
 }
 
-// copyLog returns a log that shares entries but not the slice.
+// copyLog returns a copy of the log that shares the payloads.
 func (l *Log) copyLog() Log {
 	return Log{base: l.base, entries: append([]Entry(nil), l.entries...)}
 }
--- a/rockbarrow/journal/seat.go
+++ b/rockbarrow/journal/membership.go
@@ -2,16 +2,16 @@
 
 package journal
 
-func (w *Writer) giveUpLearner(p *progress) []Action {
+func (w *Writer) dropLearner(p *progress) []Action {
 	if w.learner == p {
 		w.learner = nil
 	}
 	return nil
 }
 
-// leaving returns the members that an uncommitted change dismisses; they get
-// entries until it commits.
-func (w *Writer) leaving() Members {
+// removedMembers returns the members that an uncommitted change removes. They
+// receive entries until it commits.
+func (w *Writer) removedMembers() Members {
 	now, at := w.log.membersAt()
 	if at <= w.commit || at <= w.log.base.index {
 		return nil
@@ -25,35 +25,35 @@
 	return out
 }
 
-// leavingCopies counts the copies that members about to be dismissed hold of an
-// entry up to the change.
-func (w *Writer) leavingCopies(index uint64) int {
+// removedCopies counts the copies of an entry, up to the uncommitted change, in
+// the members that the change removes.
+func (w *Writer) removedCopies(index uint64) int {
 	if _, at := w.log.membersAt(); index > at {
 		return 0
 	}
 	n := 0
-	for _, m := range w.leaving() {
-		if !m.witness && w.holds(m, index) {
+	for _, m := range w.removedMembers() {
+		if !m.witness && w.hasEntry(m, index) {
 			n++
 		}
 	}
 	return n
 }
 
-func (w *Writer) admit(m Member) []Action {
+func (w *Writer) addMember(m Member) []Action {
 	if w.phase != serving || w.ChangingMembers() || w.Members().Contains(m) {
 		return nil
 	}
-	// A member that was dismissed and comes back keeps its progress.
+	// A member that was removed before and is added again keeps its progress.
 	if w.learner = w.peer(m); w.learner == nil {
 		w.learner = &progress{member: m, next: w.log.LastIndex() + 1}
 		w.peers = append(w.peers, w.learner)
 	}
-	return append(w.replicate(w.learner), w.seatLearner()...)
+	return append(w.replicate(w.learner), w.addLearner()...)
 }
 
-// seatLearner proposes the new set once the learner holds the committed log.
-func (w *Writer) seatLearner() []Action {
+// addLearner proposes the new set once the learner has the committed log.
+func (w *Writer) addLearner() []Action {
 	l := w.learner
 	if w.phase != serving || l == nil || l.match < w.commit {
 		return nil
@@ -62,12 +62,12 @@
 		return nil
 	}
 	w.learner = nil
-	return w.write(Entry{members: w.Members().With(l.member)})
+	return w.appendEntry(Entry{members: w.Members().With(l.member)})
 }
 
-func (w *Writer) dismiss(m Member) []Action {
+func (w *Writer) removeMember(m Member) []Action {
 	if w.phase != serving || w.ChangingMembers() || !w.Members().Contains(m) {
 		return nil
 	}
-	return w.write(Entry{members: w.Members().Without(m)})
+	return w.appendEntry(Entry{members: w.Members().Without(m)})
 }
--- a/rockbarrow/journal/model_test.go
+++ b/rockbarrow/journal/model_test.go
@@ -8,16 +8,15 @@
 	"testing"
 )
 
-// TestSchedules tries every schedule of two duelling writers that departs from
-// delivery in order by at most two choices among deferring, losing and doubling
-// a letter.
+// TestSchedules runs two competing writers under every schedule that differs from
+// ordered delivery by at most two delayed, lost or duplicated messages.
 func TestSchedules(t *testing.T) {
 	const depth = 34
 	runs := 0
 	var walk func(prefix map[int]int, from, left int)
 	walk = func(prefix map[int]int, from, left int) {
 		runs++
-		if msg := duel(t, prefix); msg != "" {
+		if msg := runTwoWriters(t, prefix); msg != "" {
 			t.Fatalf("schedule %v: %s", prefix, msg)
 		}
 		if left == 0 {
@@ -37,121 +36,122 @@
 	}
 }
 
-// duel runs two writers under a schedule and returns what broke.
-func duel(t testing.TB, departures map[int]int) string {
-	m1, m2, m3 := three()
-	b := newBench(t, m1, m2, m3)
+// runTwoWriters runs two writers under a schedule and returns the violation, if
+// there is one.
+func runTwoWriters(t testing.TB, departures map[int]int) string {
+	m1, m2, m3 := threeMembers()
+	c := newCluster(t, m1, m2, m3)
 	set := Members{m1, m2, m3}
-	first := b.writer(m1, set)
-	second := b.writer(m2, set)
-	b.step(first, Campaign{})
+	first := c.writer(m1, set)
+	second := c.writer(m2, set)
+	c.step(first, Campaign{})
 	for at := 0; at < 120; at++ {
 		switch at {
 		case 9:
-			b.step(first, Propose{Payload: []byte("one")})
+			c.step(first, Propose{Payload: []byte("one")})
 		case 12:
-			b.step(second, Campaign{})
+			c.step(second, Campaign{})
 		case 14:
-			b.step(first, Propose{Payload: []byte("two")})
+			c.step(first, Propose{Payload: []byte("two")})
 		case 30:
-			b.step(second, Propose{Payload: []byte("three")})
+			c.step(second, Propose{Payload: []byte("three")})
 		case 40:
-			b.step(first, Campaign{})
+			c.step(first, Campaign{})
 		}
 		if at%20 == 19 {
-			b.step(first, Resend{})
-			b.step(second, Resend{})
+			c.step(first, Resend{})
+			c.step(second, Resend{})
 		}
-		if len(b.pending) == 0 {
+		if len(c.pending) == 0 {
 			continue
 		}
 		switch departures[at] {
 		case 0:
-			b.deliver(b.take(0))
+			c.deliver(c.takePending(0))
 		case 1:
-			b.pending = append(b.pending, b.take(0))
+			c.pending = append(c.pending, c.takePending(0))
 		case 2:
-			b.lose(b.take(0))
+			c.drop(c.takePending(0))
 		case 3:
-			b.pending = append(b.pending, b.pending[0])
-			b.deliver(b.take(0))
+			c.pending = append(c.pending, c.pending[0])
+			c.deliver(c.takePending(0))
 		}
 	}
-	return b.broken
+	return c.violation
 }
 
-// TestRandomFaults drives three writers through losses, doubles, restarts that
-// forget, and changes of members, and checks that committed entries agree.
+// TestRandomFaults checks that committed entries agree under lost and duplicated
+// messages, restarts that lose state, and changes of members.
 func TestRandomFaults(t *testing.T) {
 	served, committed := 0, 0
 	for seed := range uint64(2000) {
-		b := randomFaults(t, seed)
-		if b.broken != "" {
-			t.Fatalf("seed %d: %s", seed, b.broken)
+		c := randomFaults(t, seed)
+		if c.violation != "" {
+			t.Fatalf("seed %d: %s", seed, c.violation)
 		}
-		served += b.served
-		committed += len(b.history)
+		served += c.served
+		committed += len(c.committedDigests)
 	}
 	if served < 4000 || committed < 14000 {
-		t.Fatalf("only %d writers served and %d entries committed: the faults leave nothing to check", served, committed)
+		t.Fatalf("only %d writers served and %d entries committed, too few for the check", served, committed)
 	}
 }
 
-func randomFaults(t testing.TB, seed uint64) *bench {
+func randomFaults(t testing.TB, seed uint64) *cluster {
 	r := rand.New(rand.NewPCG(seed, 1))
 	names := []string{"a", "b", "c", "d"}
-	lives := []uint64{1, 1, 1, 1}
-	m1, m2, m3 := three()
-	b := newBench(t, m1, m2, m3, NewMember("d", 1))
+	incarnations := []uint64{1, 1, 1, 1}
+	m1, m2, m3 := threeMembers()
+	c := newCluster(t, m1, m2, m3, NewMember("d", 1))
 	set := Members{m1, m2, m3}
-	live := func(i int) Member { return NewMember(names[i], lives[i]) }
+	member := func(i int) Member { return NewMember(names[i], incarnations[i]) }
 	for i := range names {
-		b.writer(live(i), set)
+		c.writer(member(i), set)
 	}
 	restarts := 0
 	for n := range 900 {
 		switch x := r.IntN(100); {
 		case x < 2:
 			i := r.IntN(len(names))
-			b.round++
-			b.step(b.latest(names[i]), Campaign{Round: b.round})
+			c.round++
+			c.step(c.latest(names[i]), Campaign{Round: c.round})
 		case x < 12:
-			b.step(r.IntN(len(b.writers)), Propose{Payload: fmt.Appendf(nil, "%d", n)})
+			c.step(r.IntN(len(c.writers)), Propose{Payload: fmt.Appendf(nil, "%d", n)})
 		case x < 16:
-			b.step(r.IntN(len(b.writers)), Resend{})
+			c.step(r.IntN(len(c.writers)), Resend{})
 		case x < 18:
-			b.step(r.IntN(len(b.writers)), AddMember{Member: live(r.IntN(len(names)))})
+			c.step(r.IntN(len(c.writers)), AddMember{Member: member(r.IntN(len(names)))})
 		case x < 20:
-			w := b.writers[r.IntN(len(b.writers))]
+			w := c.writers[r.IntN(len(c.writers))]
 			if m := w.Members(); len(m) > 3 {
-				b.step(r.IntN(len(b.writers)), RemoveMember{Member: m[r.IntN(len(m))]})
+				c.step(r.IntN(len(c.writers)), RemoveMember{Member: m[r.IntN(len(m))]})
 			}
 		case x == 20 && restarts == 0 && n > 300:
 			i := r.IntN(len(names))
 			restarts++
-			delete(b.replicas, live(i))
-			lives[i]++
-			b.replicas[live(i)] = &Replica{}
-			b.writer(live(i), set)
-		case len(b.pending) > 0:
-			i := r.IntN(min(len(b.pending), 4))
+			delete(c.replicas, member(i))
+			incarnations[i]++
+			c.replicas[member(i)] = &Replica{}
+			c.writer(member(i), set)
+		case len(c.pending) > 0:
+			i := r.IntN(min(len(c.pending), 4))
 			switch y := r.IntN(20); {
 			case y == 0:
-				b.lose(b.take(i))
+				c.drop(c.takePending(i))
 			case y == 1:
-				b.pending = append(b.pending, b.pending[i])
+				c.pending = append(c.pending, c.pending[i])
 			default:
-				b.deliver(b.take(i))
+				c.deliver(c.takePending(i))
 			}
 		}
 	}
-	return b
+	return c
 }
 
 // latest returns the newest writer of an instance.
-func (b *bench) latest(instance string) int {
-	for i := len(b.writers) - 1; i >= 0; i-- {
-		if b.writers[i].Self.instance == instance {
+func (c *cluster) latest(instance string) int {
+	for i := len(c.writers) - 1; i >= 0; i-- {
+		if c.writers[i].Self.instance == instance {
 			return i
 		}
 	}
--- a/rockbarrow/journal/replica.go
+++ b/rockbarrow/journal/replica.go
@@ -2,44 +2,44 @@
 
 package journal
 
-// Replica holds one copy of a journal and votes on it.
+// Replica stores one copy of a journal and votes on ballots and entries.
 type Replica struct {
-	// Witness is true when payloads must not be kept here.
+	// Witness is true if the replica must not store payloads.
 	Witness bool
-	// Fresh is true when this process may have forgotten a promise that an
-	// earlier life gave for a journal unknown here.
+	// Fresh is true if an earlier start of the process may have given a promise
+	// that was lost.
 	Fresh bool
 
-	// promised never gets older.
+	// promised is the newest ballot that was promised. It never decreases.
 	promised Ballot
 	log      Log
-	// commit never shrinks, and entries up to it are never replaced.
+	// commit never decreases, and entries up to it are never replaced.
 	commit uint64
-	// failed is set by a sync that failed and is never cleared.
+	// failed is set after a failed sync and never cleared.
 	failed bool
 }
 
-// Change is what one message changed, for a disk to sync before the reply.
+// Change is the effect of one message, to be stored on a disk before the reply.
 type Change struct {
-	// Promised is the ballot to keep.
+	// Promised is the promised ballot.
 	Promised Ballot
-	// Commit is the committed index to keep.
+	// Commit is the commit index.
 	Commit uint64
-	// Base is set when a snapshot replaced all before it.
+	// Base is set if a snapshot has replaced the entries up to its index.
 	Base *Base
-	// Truncate drops stored entries at and after this index; 0 drops none.
+	// Truncate is the index from which stored entries are dropped, or 0.
 	Truncate uint64
-	// Entries are to be stored after the truncation.
+	// Entries are the entries to store after the truncation.
 	Entries []Entry
-	// Durable is false when the change need not be synced before the reply.
+	// Durable is true if the change must be synced before the reply.
 	Durable bool
 }
 
-// RestoreReplica returns a replica from what a disk kept.
+// RestoreReplica returns a replica from stored data.
 func RestoreReplica(promised Ballot, commit uint64, base Base, entries []Entry) (*Replica, error) {
 	r := &Replica{promised: promised, log: Log{base: base}}
 	for _, e := range entries {
-		if ok, _ := r.log.put(e); !ok {
+		if ok, _ := r.log.store(e); !ok {
 			return nil, &CorruptError{Index: e.index}
 		}
 	}
@@ -50,7 +50,7 @@
 	return r, nil
 }
 
-// Log returns the held log; the caller must not keep it over a Handle.
+// Log returns the log of the replica. It is valid until the next call of Handle.
 func (r *Replica) Log() *Log { return &r.log }
 
 // Promised returns the newest ballot that the replica promised.
@@ -59,22 +59,22 @@
 // Commit returns the newest index that the replica knows to be committed.
 func (r *Replica) Commit() uint64 { return r.commit }
 
-// Observe promises a ballot that was met elsewhere. No one relies on the promise,
-// so it needs no sync.
+// Observe promises a ballot that was seen elsewhere. No writer relies on the
+// promise, so it needs no sync.
 func (r *Replica) Observe(b Ballot) {
 	if b.Compare(r.promised) > 0 {
 		r.promised = b
 	}
 }
 
-// Fail ends the replica's voting for good, after a failed sync.
+// Fail permanently stops the replica from voting, after a failed sync.
 func (r *Replica) Fail() { r.failed = true }
 
 // Failed reports whether the replica has stopped voting.
 func (r *Replica) Failed() bool { return r.failed }
 
-// Handle takes one message. The reply may go out only after the change, if it
-// is durable, has been synced.
+// Handle processes one message. If the change is durable, it must be synced
+// before the reply is sent.
 func (r *Replica) Handle(m Message) (Reply, Change) {
 	if r.failed {
 		return NonVoting{}, Change{}
@@ -92,7 +92,7 @@
 	return NonVoting{}, Change{}
 }
 
-// Compact folds committed entries up to index into state.
+// Compact replaces the committed entries up to index by a snapshot.
 func (r *Replica) Compact(index uint64, state []byte) (Change, bool) {
 	if index > r.commit || !r.log.compact(index, state) {
 		return Change{}, false
@@ -118,8 +118,8 @@
 	return reply, Change{Promised: r.promised, Commit: r.commit, Durable: true}
 }
 
-// fetch refuses older ballots too, as the log may have changed since their
-// promise.
+// fetch refuses ballots older than the promised one, as the log may have changed
+// since they were promised.
 func (r *Replica) fetch(m Fetch) Reply {
 	if m.Ballot.Compare(r.promised) < 0 {
 		return Refused{Promised: r.promised}
@@ -142,14 +142,14 @@
 	change := Change{Promised: m.Ballot, Durable: m.Ballot != r.promised}
 	r.promised = m.Ballot
 	if m.PrevIndex < r.log.base.index {
-		return r.gap(m.Ballot, r.log.base.index), r.kept(change)
+		return r.mismatch(m.Ballot, r.log.base.index), r.withCommit(change)
 	}
 	digest, ok := r.log.digestAt(m.PrevIndex)
 	if !ok {
-		return r.gap(m.Ballot, r.log.LastIndex()), r.kept(change)
+		return r.mismatch(m.Ballot, r.log.LastIndex()), r.withCommit(change)
 	}
 	if digest != m.PrevDigest {
-		return r.gap(m.Ballot, max(r.commit, m.PrevIndex-1)), r.kept(change)
+		return r.mismatch(m.Ballot, max(r.commit, m.PrevIndex-1)), r.withCommit(change)
 	}
 	held := m.PrevIndex
 	for _, e := range m.Entries {
@@ -163,7 +163,7 @@
 		if e.index <= r.commit && had && old.digest != e.digest {
 			break
 		}
-		ok, changed := r.log.put(e)
+		ok, changed := r.log.store(e)
 		if !ok {
 			break
 		}
@@ -177,7 +177,7 @@
 		}
 	}
 	r.commit = max(r.commit, min(m.Commit, held))
-	return Accepted{Ballot: m.Ballot, Index: held, Nonce: m.Nonce}, r.kept(change)
+	return Accepted{Ballot: m.Ballot, Index: held, Nonce: m.Nonce}, r.withCommit(change)
 }
 
 func (r *Replica) install(m Install) (Reply, Change) {
@@ -195,12 +195,12 @@
 		r.commit = base.index
 		change.Base = &base
 	}
-	return Accepted{Ballot: m.Ballot, Index: r.commit}, r.kept(change)
+	return Accepted{Ballot: m.Ballot, Index: r.commit}, r.withCommit(change)
 }
 
-func (r *Replica) gap(b Ballot, index uint64) Reply { return Mismatch{Ballot: b, Index: index} }
+func (r *Replica) mismatch(b Ballot, index uint64) Reply { return Mismatch{Ballot: b, Index: index} }
 
-func (r *Replica) kept(c Change) Change {
+func (r *Replica) withCommit(c Change) Change {
 	c.Commit = r.commit
 	return c
 }
--- a/rockbarrow/journal/replicate.go
+++ b/rockbarrow/journal/replicate.go
@@ -6,21 +6,21 @@
 	if w.phase != serving {
 		return nil
 	}
-	return w.write(e)
+	return w.appendEntry(e)
 }
 
-// write appends an entry of the writer's own ballot and sends it out.
-func (w *Writer) write(e Entry) []Action {
+// appendEntry appends an entry under the writer's ballot and replicates it.
+func (w *Writer) appendEntry(e Entry) []Action {
 	index, _, digest := w.log.Last()
 	e.index = index + 1
 	e.ballot = w.ballot
-	w.log.put(e.sealed(digest))
+	w.log.store(e.withDigests(digest))
 	return w.replicateAll()
 }
 
 func (w *Writer) replicateAll() []Action {
 	var out []Action
-	for _, m := range append(w.leaving(), w.Members()...) {
+	for _, m := range append(w.removedMembers(), w.Members()...) {
 		p := w.peer(m)
 		if p == nil {
 			p = &progress{member: m, next: w.log.LastIndex()}
@@ -34,19 +34,20 @@
 	return out
 }
 
-// replicate sends what a member lacks, one message at a time.
+// replicate sends a member the entries that it lacks, with at most one message in
+// flight.
 func (w *Writer) replicate(p *progress) []Action {
 	if w.phase != opening && w.phase != serving {
 		return nil
 	}
-	if p.busy || p.silent || p.member.incarnation == 0 {
+	if p.inFlight || p.nonVoting || p.member.incarnation == 0 {
 		return nil
 	}
-	if p.match >= w.log.LastIndex() && p.confirmed >= w.asked && (p.told >= w.commit || !w.AnnounceCommits) {
+	if p.match >= w.log.LastIndex() && p.confirmed >= w.confirmsRequested && (p.sentCommit >= w.commit || !w.AnnounceCommits) {
 		return nil
 	}
-	p.busy = true
-	p.told = w.commit
+	p.inFlight = true
+	p.sentCommit = w.commit
 	next := max(p.next, 1)
 	if next <= w.log.base.index {
 		base := w.log.base
@@ -60,7 +61,7 @@
 	if p.member.witness {
 		entries = withoutPayloads(entries)
 	}
-	msg := Append{Ballot: w.ballot, PrevIndex: next - 1, PrevDigest: digest, Entries: entries, Commit: w.commit, Nonce: w.asked}
+	msg := Append{Ballot: w.ballot, PrevIndex: next - 1, PrevDigest: digest, Entries: entries, Commit: w.commit, Nonce: w.confirmsRequested}
 	return []Action{Send{To: p.member, Message: msg}}
 }
 
@@ -72,15 +73,14 @@
 	return out
 }
 
-// tally counts who holds the log up to an index.
-func (w *Writer) tally(index uint64) tally {
-	return w.Members().count(func(m Member) bool { return w.holds(m, index) }, w.leavingCopies(index))
+// countAcks counts the members that have the log up to an index.
+func (w *Writer) countAcks(index uint64) ackCount {
+	return w.Members().countAcks(func(m Member) bool { return w.hasEntry(m, index) }, w.removedCopies(index))
 }
 
-// advance commits what the durability rule allows, in entries of the writer's
-// own ballot only. The opening entry carries no payload and needs the votes
-// alone, so that a writer with a single copy can admit members; what it adopted
-// is handed over only once it is kept.
+// advance commits entries of the writer's own ballot that are durable. The opening
+// entry needs only a majority of votes, so that a writer with a single copy can
+// add members. Committed entries are delivered once they are safe to deliver.
 func (w *Writer) advance() []Action {
 	var out []Action
 	if w.phase != opening && w.phase != serving {
@@ -91,38 +91,38 @@
 		if e.ballot != w.ballot {
 			break
 		}
-		t := w.tally(index)
-		if t.durable(w.Members().Majority()) || index == w.opened && t.votes >= w.Members().Majority() {
+		t := w.countAcks(index)
+		if t.durable(w.Members().Majority()) || index == w.openingIndex && t.votes >= w.Members().Majority() {
 			w.commit = index
 			break
 		}
 	}
-	if w.phase == opening && w.commit >= w.opened {
+	if w.phase == opening && w.commit >= w.openingIndex {
 		w.phase = serving
 		out = append(out, Serving{})
 	}
-	if w.phase == serving && w.handed < w.commit && w.tally(w.commit).kept() {
-		out = append(out, Committed{Entries: w.log.After(w.handed, int(w.commit-w.handed))})
-		w.handed = w.commit
+	if w.phase == serving && w.delivered < w.commit && w.countAcks(w.commit).safeToDeliver() {
+		out = append(out, Committed{Entries: w.log.After(w.delivered, int(w.commit-w.delivered))})
+		w.delivered = w.commit
 		if w.AnnounceCommits {
 			out = append(out, w.replicateAll()...)
 		}
 	}
-	return append(out, w.seatLearner()...)
+	return append(out, w.addLearner()...)
 }
 
-func (w *Writer) holds(m Member, index uint64) bool {
+func (w *Writer) hasEntry(m Member, index uint64) bool {
 	p := w.peer(m)
 	return p != nil && p.match >= index
 }
 
-// prove tells of the highest number that a majority has confirmed.
-func (w *Writer) prove() []Action {
+// confirm reports the highest number of a Confirm that a majority has answered.
+func (w *Writer) confirm() []Action {
 	if w.phase != serving {
 		return nil
 	}
 	members := w.Members()
-	for number := w.asked; number > w.proven; number-- {
+	for number := w.confirmsRequested; number > w.confirmsAnswered; number-- {
 		votes := 0
 		for _, m := range members {
 			if p := w.peer(m); p != nil && p.confirmed >= number {
@@ -130,7 +130,7 @@
 			}
 		}
 		if votes >= members.Majority() {
-			w.proven = number
+			w.confirmsAnswered = number
 			return []Action{Confirmed{Number: number}}
 		}
 	}
@@ -142,11 +142,11 @@
 	case preparing:
 		return w.prepareAll()
 	case fetching:
-		if p := w.peer(w.source); p != nil && !p.busy {
+		if p := w.peer(w.source); p != nil && !p.inFlight {
 			return w.fetchMore(p)
 		}
 	case opening, serving:
-		return append(w.replicateAll(), w.seatLearner()...)
+		return append(w.replicateAll(), w.addLearner()...)
 	}
 	return nil
 }
--- a/rockbarrow/journal/writer.go
+++ b/rockbarrow/journal/writer.go
@@ -3,7 +3,8 @@
 package journal
 
 const (
-	// fetchLimit bounds the entries in one Fetch, and appendLimit in one Append.
+	// fetchLimit is the maximum number of entries in the reply to a Fetch, and
+	// appendLimit in an Append.
 	fetchLimit  = 64
 	appendLimit = 64
 )
@@ -101,25 +102,25 @@
 	fetching
 	opening
 	serving
-	deposed
+	superseded
 )
 
-// progress is what the writer knows of one member.
+// progress is the state of replication to one member.
 type progress struct {
 	member   Member
 	promised *Promised
-	// match is the highest index that the member holds for certain.
+	// match is the highest index that the member has acknowledged.
 	match uint64
-	// next is the index to send next, above match.
+	// next is the index of the next entry to send.
 	next uint64
-	// busy is true while a message is on its way.
-	busy bool
-	// told is the commit index in the last message.
-	told uint64
-	// confirmed is the highest number that the member's replies prove.
+	// inFlight is true while a message has not been answered.
+	inFlight bool
+	// sentCommit is the commit index in the last message.
+	sentCommit uint64
+	// confirmed is the highest number of a Confirm that the member has acknowledged.
 	confirmed uint64
-	// silent is true when the member never answers again in this life.
-	silent bool
+	// nonVoting is true if the member has replied that it will not vote again.
+	nonVoting bool
 }
 
 // Writer is the only writer of a journal under its ballot.
@@ -140,37 +141,39 @@
 
 	phase  phase
 	ballot Ballot
-	// seen is the newest ballot met; the next campaign goes above it.
-	seen Ballot
-	log  Log
-	// commit is the newest committed index; handed is how far the owner was told.
-	commit, handed uint64
-	peers          []*progress
+	// newestBallot is the newest ballot seen. The next campaign uses a newer one.
+	newestBallot Ballot
+	log          Log
+	// commit is the commit index, and delivered the last index in a Committed.
+	commit, delivered uint64
+	peers             []*progress
 	// source is the member whose log is being fetched, up to sourceIndex.
 	source      Member
 	sourceIndex uint64
-	// learner gets the log before it is proposed as a member.
+	// learner receives the log before it is proposed as a member.
 	learner *progress
-	opened  uint64
-	// asked counts Confirm events; proven is the highest number confirmed.
-	asked, proven uint64
+	// openingIndex is the index of the writer's first entry.
+	openingIndex uint64
+	// confirmsRequested counts Confirm events. confirmsAnswered is the highest
+	// number in a Confirmed.
+	confirmsRequested, confirmsAnswered uint64
 }
 
 // Restore sets the log of the writer's own replica, before a Campaign.
 func (w *Writer) Restore(r *Replica) {
 	w.log = r.log.copyLog()
 	w.commit = r.commit
-	w.see(r.promised)
+	w.observeBallot(r.promised)
 }
 
 // Ballot returns the ballot of the newest campaign.
 func (w *Writer) Ballot() Ballot { return w.ballot }
 
-// Serves reports whether proposals are taken.
+// Serves reports whether the writer accepts proposals.
 func (w *Writer) Serves() bool { return w.phase == serving }
 
 // Superseded reports whether a replica has promised a newer ballot.
-func (w *Writer) Superseded() bool { return w.phase == deposed }
+func (w *Writer) Superseded() bool { return w.phase == superseded }
 
 // Commit returns the newest committed index.
 func (w *Writer) Commit() uint64 { return w.commit }
@@ -178,10 +181,10 @@
 // LastIndex returns the index of the newest proposed entry.
 func (w *Writer) LastIndex() uint64 { return w.log.LastIndex() }
 
-// Log returns the writer's log; the caller must not keep it over a Handle.
+// Log returns the writer's log. It is valid until the next call of Handle.
 func (w *Writer) Log() *Log { return &w.log }
 
-// Members returns the set in force.
+// Members returns the newest set of members in the log.
 func (w *Writer) Members() Members {
 	if m := w.log.Members(); m != nil {
 		return m
@@ -192,7 +195,7 @@
 // NonVoting reports whether a member has replied that it will not vote again.
 func (w *Writer) NonVoting(m Member) bool {
 	p := w.peer(m)
-	return p != nil && p.silent
+	return p != nil && p.nonVoting
 }
 
 // ChangingMembers reports whether a change of the set is in progress.
@@ -201,12 +204,12 @@
 	return w.learner != nil || at > w.commit
 }
 
-// Compact folds committed entries up to index into state.
+// Compact replaces the delivered entries up to index by a snapshot.
 func (w *Writer) Compact(index uint64, state []byte) bool {
-	return index <= w.handed && w.log.compact(index, state)
+	return index <= w.delivered && w.log.compact(index, state)
 }
 
-// Handle takes one event.
+// Handle processes one event and returns the resulting actions.
 func (w *Writer) Handle(e Event) []Action {
 	switch e := e.(type) {
 	case Campaign:
@@ -214,27 +217,27 @@
 	case Propose:
 		return w.propose(Entry{payload: e.Payload})
 	case AddMember:
-		return w.admit(e.Member)
+		return w.addMember(e.Member)
 	case RemoveMember:
-		return w.dismiss(e.Member)
+		return w.removeMember(e.Member)
 	case Replied:
 		return w.replied(e)
 	case NoReply:
 		if p := w.peer(e.To); p != nil {
-			p.busy = false
+			p.inFlight = false
 		}
 		return nil
 	case Resend:
 		return w.resend()
 	case Confirm:
-		w.asked++
+		w.confirmsRequested++
 		return w.replicateAll()
 	}
 	return nil
 }
 
 // LastConfirm returns the number of the newest Confirm.
-func (w *Writer) LastConfirm() uint64 { return w.asked }
+func (w *Writer) LastConfirm() uint64 { return w.confirmsRequested }
 
 func (w *Writer) replied(e Replied) []Action {
 	p := w.peer(e.From)
@@ -245,37 +248,37 @@
 	case Refused:
 		return w.refused(p, r)
 	case NonVoting:
-		p.busy = false
-		p.silent = true
-		return w.giveUpLearner(p)
+		p.inFlight = false
+		p.nonVoting = true
+		return w.dropLearner(p)
 	case Promised:
 		if r.Ballot != w.ballot {
 			return nil
 		}
-		p.busy = false
+		p.inFlight = false
 		p.promised = &r
-		return append(w.adoptBest(), w.replicate(p)...)
+		return append(w.adoptNewestLog(), w.replicate(p)...)
 	case Fetched:
 		if r.Ballot != w.ballot {
 			return nil
 		}
-		p.busy = false
+		p.inFlight = false
 		return w.fetched(p, r)
 	case Accepted:
 		if r.Ballot != w.ballot {
 			return nil
 		}
-		p.busy = false
+		p.inFlight = false
 		p.match = max(p.match, r.Index)
 		p.next = p.match + 1
 		p.confirmed = max(p.confirmed, r.Nonce)
-		out := append(w.advance(), w.prove()...)
+		out := append(w.advance(), w.confirm()...)
 		return append(out, w.replicate(p)...)
 	case Mismatch:
 		if r.Ballot != w.ballot {
 			return nil
 		}
-		p.busy = false
+		p.inFlight = false
 		p.next = max(p.match, min(r.Index, w.log.LastIndex())) + 1
 		return w.replicate(p)
 	}
@@ -283,18 +286,18 @@
 }
 
 func (w *Writer) refused(p *progress, r Refused) []Action {
-	p.busy = false
-	w.see(r.Promised)
-	if r.Promised.Compare(w.ballot) <= 0 || w.phase == deposed {
+	p.inFlight = false
+	w.observeBallot(r.Promised)
+	if r.Promised.Compare(w.ballot) <= 0 || w.phase == superseded {
 		return nil
 	}
-	w.phase = deposed
+	w.phase = superseded
 	return []Action{Superseded{By: r.Promised}}
 }
 
-func (w *Writer) see(b Ballot) {
-	if b.Compare(w.seen) > 0 {
-		w.seen = b
+func (w *Writer) observeBallot(b Ballot) {
+	if b.Compare(w.newestBallot) > 0 {
+		w.newestBallot = b
 	}
 }
 
