--- a/rockbarrow/host/perform.go
+++ b/rockbarrow/host/perform.go
@@ -63,7 +63,7 @@
 	created := o.Machine.State().Created()
 	s := r.host.Config()
 	if p := r.refusal(s, created, a.EntryDomain); p != nil {
-		r.post(owner.Asked{Event: program.PlacementFailed{Sequence: a.Sequence, Attempt: a.Attempt, Problem: p}})
+		r.post(owner.ProgramEvent{Event: program.PlacementFailed{Sequence: a.Sequence, Attempt: a.Attempt, Problem: p}})
 		return
 	}
 	bounds := placement.Boundaries(a.History)
@@ -90,7 +90,7 @@
 	}
 	job.Placed = func(seat *dispatch.Slot) { r.placed(a, seat, s.Version()) }
 	job.Rejected = func(p *peerpb.Problem) {
-		r.post(owner.Asked{Event: program.PlacementFailed{Sequence: a.Sequence, Attempt: a.Attempt, Problem: p}})
+		r.post(owner.ProgramEvent{Event: program.PlacementFailed{Sequence: a.Sequence, Attempt: a.Attempt, Problem: p}})
 	}
 	r.host.Desk.Submit(job)
 }
@@ -137,7 +137,7 @@
 		old.release()
 	}
 	e := seat.Choice().Endpoint()
-	r.post(owner.Asked{Event: program.Placed{
+	r.post(owner.ProgramEvent{Event: program.Placed{
 		Sequence:      a.Sequence,
 		Attempt:       a.Attempt,
 		Endpoint:      e.Name(),
@@ -155,7 +155,7 @@
 	s := r.seat
 	if s == nil || s.attempt != attempt {
 		r.mu.Unlock()
-		r.post(owner.Asked{Event: program.AttemptFailed{Sequence: a.Intent.GetSequence(), Attempt: attempt, NotRun: true, Reason: "the seat was lost"}})
+		r.post(owner.ProgramEvent{Event: program.AttemptFailed{Sequence: a.Intent.GetSequence(), Attempt: attempt, NotRun: true, Reason: "the seat was lost"}})
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), r.host.CallTimeout)
--- a/rockbarrow/host/replica.go
+++ b/rockbarrow/host/replica.go
@@ -84,7 +84,7 @@
 func (d *delivery) toOwn() {
 	reply := d.run.message(d.to, d.message)
 	if reply == nil {
-		d.run.post(owner.Lost{To: d.to})
+		d.run.post(owner.NoReply{To: d.to})
 		return
 	}
 	d.run.post(owner.Replied{From: d.to, Reply: reply})
@@ -99,7 +99,7 @@
 	defer cancel()
 	reply, err := d.run.host.Peers.Journal(ctx, d.run.name, d.to, d.message)
 	if err != nil || reply == nil {
-		d.run.post(owner.Lost{To: d.to})
+		d.run.post(owner.NoReply{To: d.to})
 		return
 	}
 	d.run.post(owner.Replied{From: d.to, Reply: reply})
--- a/rockbarrow/host/run.go
+++ b/rockbarrow/host/run.go
@@ -61,7 +61,7 @@
 func (r *run) exposed() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.owner != nil && r.owner.Exposed()
+	return r.owner != nil && r.owner.AtRisk()
 }
 
 func (r *run) busy() bool {
@@ -100,7 +100,7 @@
 		return false
 	}
 	if r.host.wrote(ballot) {
-		return r.unrested() || owner.Damaged(members, v, r.name, HomeOf(r.name), r.host.self())
+		return r.unrested() || owner.NeedsRepair(members, v, r.name, HomeOf(r.name), r.host.self())
 	}
 	if v.Writes(ballot) {
 		return false
@@ -136,7 +136,7 @@
 	log := r.replica.Log()
 	const tail = 8
 	for _, e := range log.After(log.LastIndex()-min(tail, log.LastIndex()), tail) {
-		for _, record := range owner.Records(e.Payload()) {
+		for _, record := range owner.DecodeRecords(e.Payload()) {
 			if _, ok := record.GetBody().(*recordpb.Record_Ended); ok {
 				return true
 			}
@@ -159,15 +159,15 @@
 	}
 	r.next = time.Now().Add(pause())
 	o := &owner.Owner{
-		Run:         r.name,
-		Domain:      HomeOf(r.name),
-		Self:        h.self(),
-		Incarnation: h.Incarnation,
-		Keyed:       c.keyed,
-		Machine:     program.Machine{Instance: h.Instance},
+		Run:              r.name,
+		Domain:           HomeOf(r.name),
+		Self:             h.self(),
+		Incarnation:      h.Incarnation,
+		ConcurrentCreate: c.keyed,
+		Machine:          program.Machine{Instance: h.Instance},
 	}
 	if c.create {
-		o.Initial = owner.Initial(c.view, r.name, o.Domain)
+		o.InitialMembers = owner.InitialMembers(c.view, r.name, o.Domain)
 	}
 	r.replicaMu.Lock()
 	o.Replica = r.replica
@@ -214,7 +214,7 @@
 
 // turnAway answers a caller whose event met no owner.
 func (r *run) turnAway(e owner.Event) {
-	a, ok := e.(owner.Asked)
+	a, ok := e.(owner.ProgramEvent)
 	if !ok {
 		return
 	}
@@ -259,9 +259,9 @@
 	switch a := a.(type) {
 	case owner.Send:
 		r.send(a)
-	case owner.Do:
+	case owner.ProgramAction:
 		r.do(o, a.Action)
-	case owner.Deposed:
+	case owner.OwnershipLost:
 		r.host.Metrics.Counter("deposed").Inc(1)
 		r.host.Log.WithField("run", r.name).WithField("by", a.By.String()).Info("another instance owns the run")
 		r.observe(a.By)
--- a/rockbarrow/host/sending.go
+++ b/rockbarrow/host/sending.go
@@ -74,7 +74,7 @@
 	w.post(program.ChunkReceived{Sequence: in.GetSequence(), Attempt: in.GetAttempt(), Offset: offset, Content: content})
 }
 
-func (w *sending) post(e program.Event) { w.run.post(owner.Asked{Event: e}) }
+func (w *sending) post(e program.Event) { w.run.post(owner.ProgramEvent{Event: e}) }
 
 func (w *sending) result(out Outcome) placement.Result {
 	a := out.Answered
@@ -122,7 +122,7 @@
 			return
 		}
 	}
-	c.run.post(owner.Asked{Event: program.MemoryReleased{Endpoint: c.endpoint}})
+	c.run.post(owner.ProgramEvent{Event: program.MemoryReleased{Endpoint: c.endpoint}})
 }
 
 // credit brings the rest of an ended run's budget to its parent.
@@ -146,6 +146,6 @@
 		return nil
 	})
 	if credited {
-		c.run.post(owner.Asked{Event: program.ParentCredited{}})
+		c.run.post(owner.ProgramEvent{Event: program.ParentCredited{}})
 	}
 }
--- a/rockbarrow/host/serve.go
+++ b/rockbarrow/host/serve.go
@@ -36,16 +36,16 @@
 	r.callers[id] = s
 	r.mu.Unlock()
 	defer r.forget(id)
-	r.post(owner.Asked{Event: eventOf(id, req)})
+	r.post(owner.ProgramEvent{Event: eventOf(id, req)})
 	for {
 		events, done, err := s.next(ctx)
 		if err != nil {
-			r.post(owner.Asked{Event: program.CallerLeft{ID: id}})
+			r.post(owner.ProgramEvent{Event: program.CallerLeft{ID: id}})
 			return err
 		}
 		for _, e := range events {
 			if err := emit(e); err != nil {
-				r.post(owner.Asked{Event: program.CallerLeft{ID: id}})
+				r.post(owner.ProgramEvent{Event: program.CallerLeft{ID: id}})
 				return err
 			}
 		}
--- a/rockbarrow/matrix/client_test.go
+++ b/rockbarrow/matrix/client_test.go
@@ -107,14 +107,14 @@
 		w.tell(n, program.Reply{ID: id, Event: &peerpb.DoEvent{Body: &peerpb.DoEvent_Redirect{Redirect: &peerpb.Redirect{Instance: to}}}, Done: true})
 		return
 	}
-	w.step(n, owner.Asked{Event: e})
+	w.step(n, owner.ProgramEvent{Event: e})
 }
 
 func (w *world) seize(n *node, e program.Event) bool {
 	v := n.table.View()
 	if n.replica == nil || n.replica.Log().LastIndex() == 0 {
 		_, create := e.(program.CreateRequested)
-		members := owner.Initial(v, runID, "home")
+		members := owner.InitialMembers(v, runID, "home")
 		return create && members.Contains(n.self()) && w.claim(n, true)
 	}
 	b := n.replica.Promised()
--- a/rockbarrow/matrix/endpoint_test.go
+++ b/rockbarrow/matrix/endpoint_test.go
@@ -65,7 +65,7 @@
 
 // local hands an event to a node's own owner, in its present life.
 func (w *world) local(n *node, e program.Event) {
-	w.post(letter{from: n.name(), to: n.name(), act: func() { w.step(n, owner.Asked{Event: e}) }})
+	w.post(letter{from: n.name(), to: n.name(), act: func() { w.step(n, owner.ProgramEvent{Event: e}) }})
 }
 
 // dispatch sends an attempt; a process that was paused sends nothing.
@@ -74,7 +74,7 @@
 	in := a.Intent
 	failed := func(notRun bool, reason string) func() {
 		return func() {
-			w.step(n, owner.Asked{Event: program.AttemptFailed{Sequence: in.GetSequence(), Attempt: in.GetAttempt(), NotRun: notRun, Reason: reason}})
+			w.step(n, owner.ProgramEvent{Event: program.AttemptFailed{Sequence: in.GetSequence(), Attempt: in.GetAttempt(), NotRun: notRun, Reason: reason}})
 		}
 	}
 	w.post(letter{from: n.name(), to: n.name(), act: func() {
@@ -110,7 +110,7 @@
 	content := fmt.Sprintf("%016x/%d", boundary(a.History), in.GetAttempt())
 	back(func() {
 		w.reach(stepStreaming)
-		w.step(n, owner.Asked{Event: program.ChunkReceived{Sequence: in.GetSequence(), Attempt: in.GetAttempt(), Content: content[:8]}})
+		w.step(n, owner.ProgramEvent{Event: program.ChunkReceived{Sequence: in.GetSequence(), Attempt: in.GetAttempt(), Content: content[:8]}})
 	})
 	if e.mute || !e.up {
 		back(failed(false, "the answer was lost"))
@@ -122,7 +122,7 @@
 			return
 		}
 		w.reach(stepAnswered)
-		w.step(n, owner.Asked{Event: program.AttemptFinished{Sequence: in.GetSequence(), Attempt: in.GetAttempt(), Answered: &recordpb.Answered{
+		w.step(n, owner.ProgramEvent{Event: program.AttemptFinished{Sequence: in.GetSequence(), Attempt: in.GetAttempt(), Answered: &recordpb.Answered{
 			Sequence: in.GetSequence(), Attempt: in.GetAttempt(), Content: content,
 			PromptTokens: promptTokens, AnswerTokens: answerTokens, Endpoint: e.name, FinishReason: "stop",
 		}}})
@@ -152,7 +152,7 @@
 		}
 		delete(e.holds, runID)
 		w.post(letter{from: e.name, to: n.name(), life: n.life, act: func() {
-			w.step(n, owner.Asked{Event: program.MemoryReleased{Endpoint: name}})
+			w.step(n, owner.ProgramEvent{Event: program.MemoryReleased{Endpoint: name}})
 		}})
 	}})
 }
--- a/rockbarrow/matrix/matrix_test.go
+++ b/rockbarrow/matrix/matrix_test.go
@@ -193,7 +193,7 @@
 // afterRepair acts once the owner's replicas are whole without the lost one.
 func (w *world) afterRepair(lost *node, act func()) {
 	w.later(time.Second, func() {
-		if n := w.ownerNode(); n.owner == nil || !n.owner.Whole() || n.owner.Members().Contains(lost.self()) {
+		if n := w.ownerNode(); n.owner == nil || !n.owner.FullyReplicated() || n.owner.Members().Contains(lost.self()) {
 			w.afterRepair(lost, act)
 			return
 		}
@@ -248,7 +248,7 @@
 	if !n.up || !n.leaving {
 		return
 	}
-	if o := w.ownerNode(); o.owner == nil || !o.owner.Whole() || o.owner.Members().Contains(n.self()) {
+	if o := w.ownerNode(); o.owner == nil || !o.owner.FullyReplicated() || o.owner.Members().Contains(n.self()) {
 		w.later(time.Second, func() { w.endDrain(n) })
 		return
 	}
--- a/rockbarrow/matrix/world_test.go
+++ b/rockbarrow/matrix/world_test.go
@@ -270,7 +270,7 @@
 	n.next = w.now.Add(period + time.Duration(w.rand.Int64N(int64(period))))
 	o := &owner.Owner{Run: runID, Domain: "home", Self: n.self(), Incarnation: n.life, Replica: n.replica}
 	if create {
-		o.Initial = owner.Initial(n.table.View(), runID, "home")
+		o.InitialMembers = owner.InitialMembers(n.table.View(), runID, "home")
 	}
 	n.owner = o
 	w.rounds++
@@ -293,9 +293,9 @@
 		switch a := a.(type) {
 		case owner.Send:
 			w.send(n, a)
-		case owner.Do:
+		case owner.ProgramAction:
 			w.do(n, a.Action)
-		case owner.Deposed:
+		case owner.OwnershipLost:
 			n.replica.Observe(a.By)
 			w.disown(n, o)
 		case owner.Abandoned:
@@ -319,7 +319,7 @@
 	back := func(e owner.Event) {
 		w.post(letter{from: n.name(), to: n.name(), life: life, act: func() { w.step(n, e) }})
 	}
-	r := &rpc{until: w.now.Add(rpcTime), lost: func() { back(owner.Lost{To: a.To}) }}
+	r := &rpc{until: w.now.Add(rpcTime), lost: func() { back(owner.NoReply{To: a.To}) }}
 	w.rpcs = append(w.rpcs, r)
 	w.post(letter{from: n.name(), to: a.To.Instance(), act: func() {
 		reply := w.journal(w.find(a.To.Instance()), a.To, a.Message)
--- a/rockbarrow/owner/bench_test.go
+++ b/rockbarrow/owner/bench_test.go
@@ -34,9 +34,9 @@
 	for _, one := range m {
 		t.replicas[one] = &journal.Replica{}
 	}
-	t.o = Owner{Run: "d.r", Domain: "d", Self: m[0], Incarnation: 1, Initial: m}
+	t.o = Owner{Run: "d.r", Domain: "d", Self: m[0], Incarnation: 1, InitialMembers: m}
 	t.do(Start{Round: 1})
-	t.do(Asked{Event: program.CreateRequested{ID: 1, Created: &recordpb.Created{Run: "d.r", Customer: "c", BudgetTokens: 1 << 40, MaxCalls: 1 << 30, MaxAnswerTokens: 1000}}})
+	t.do(ProgramEvent{Event: program.CreateRequested{ID: 1, Created: &recordpb.Created{Run: "d.r", Customer: "c", BudgetTokens: 1 << 40, MaxCalls: 1 << 30, MaxAnswerTokens: 1000}}})
 	return t
 }
 
@@ -52,7 +52,7 @@
 				reply, _ := t.replicas[a.To].Handle(a.Message)
 				t.tally(a, reply)
 				queue = append(queue, Replied{From: a.To, Reply: reply})
-			case Do:
+			case ProgramAction:
 				queue = append(queue, t.act(a.Action)...)
 			}
 		}
@@ -71,10 +71,10 @@
 func (t *trio) act(a program.Action) []Event {
 	switch a := a.(type) {
 	case program.Place:
-		return []Event{Asked{Event: program.Placed{Sequence: a.Sequence, Attempt: a.Attempt, Endpoint: "engine-1", Domain: "d", ConfigVersion: 7, Reason: "expected 12.0 ms, 900 prompt tokens held there, 40 to compute"}}}
+		return []Event{ProgramEvent{Event: program.Placed{Sequence: a.Sequence, Attempt: a.Attempt, Endpoint: "engine-1", Domain: "d", ConfigVersion: 7, Reason: "expected 12.0 ms, 900 prompt tokens held there, 40 to compute"}}}
 	case program.Dispatch:
 		in := a.Intent
-		return []Event{Asked{Event: program.AttemptFinished{Sequence: in.GetSequence(), Attempt: in.GetAttempt(), Answered: &recordpb.Answered{
+		return []Event{ProgramEvent{Event: program.AttemptFinished{Sequence: in.GetSequence(), Attempt: in.GetAttempt(), Answered: &recordpb.Answered{
 			Sequence: in.GetSequence(), Attempt: in.GetAttempt(), Content: words(300), PromptTokens: 100, AnswerTokens: 300, Endpoint: "engine-1",
 		}}}}
 	case program.Reply:
@@ -87,7 +87,7 @@
 
 // turn makes one call of about 100 new prompt tokens and 300 answer tokens.
 func (t *trio) turn(n int) {
-	t.do(Asked{Event: program.CallReceived{ID: program.CallID(n + 10), Customer: "c", Turn: &peerpb.Turn{
+	t.do(ProgramEvent{Event: program.CallReceived{ID: program.CallID(n + 10), Customer: "c", Turn: &peerpb.Turn{
 		Sequence: uint64(n), RequestId: fmt.Sprintf("d.0123456789abcdef01234567/%d", n), Repeatable: true,
 		Messages: []*recordpb.Message{{Role: "user", Content: words(100)}}, MaxAnswerTokens: 400,
 	}}})
--- a/rockbarrow/owner/doc.go
+++ b/rockbarrow/owner/doc.go
@@ -5,13 +5,13 @@
 //
 // An [Owner] is stepped like its halves:
 //
-//	o := owner.Owner{Run: id, Self: member, Initial: owner.Initial(view, id, domain)}
+//	o := owner.Owner{Run: id, Self: member, InitialMembers: owner.InitialMembers(view, id, domain)}
 //	for _, a := range o.Handle(now, owner.Start{Round: 1}) {
 //		switch a := a.(type) {
 //		case owner.Send:
-//			// to a replica; the reply comes back as owner.Replied
-//		case owner.Do:
-//			// a.Action of the program, but never a Commit
+//			// to a replica; the reply is handled as owner.Replied
+//		case owner.ProgramAction:
+//			// a.Action is an action of the program, never a Commit
 //		}
 //	}
 package owner
--- a/rockbarrow/owner/owner.go
+++ b/rockbarrow/owner/owner.go
@@ -18,10 +18,11 @@
 // serveWait is how long callers wait for the journal to serve.
 const serveWait = 5 * time.Second
 
-// Event is what an [Owner] handles.
+// Event is an input of an [Owner].
 type Event interface{ event() }
 
-// Start campaigns for the journal in a round that this process never used.
+// Start starts a campaign for the journal, in a round that this process has not
+// used before.
 type Start struct{ Round uint64 }
 
 // Replied is a replica's reply to a [Send].
@@ -30,111 +31,114 @@
 	Reply journal.Reply
 }
 
-// Lost says that a [Send] got no reply.
-type Lost struct{ To journal.Member }
+// NoReply reports that a [Send] was not answered.
+type NoReply struct{ To journal.Member }
 
-// Asked hands an event to the program.
-type Asked struct{ Event program.Event }
+// ProgramEvent delivers an event to the program.
+type ProgramEvent struct{ Event program.Event }
 
-// Ticked lets time pass under the newest view.
+// Ticked is delivered periodically with the newest view.
 type Ticked struct{ View *roster.View }
 
-func (Start) event()   {}
-func (Replied) event() {}
-func (Lost) event()    {}
-func (Asked) event()   {}
-func (Ticked) event()  {}
+func (Start) event()        {}
+func (Replied) event()      {}
+func (NoReply) event()      {}
+func (ProgramEvent) event() {}
+func (Ticked) event()       {}
 
-// Action is what an [Owner] wants done.
+// Action is an output of an [Owner] for the host to perform.
 type Action interface{ action() }
 
-// Send carries a journal message to a member.
+// Send sends a journal message to a member.
 type Send struct {
 	To      journal.Member
 	Message journal.Message
 }
 
-// Do is an action of the program.
-type Do struct{ Action program.Action }
+// ProgramAction is an action of the program.
+type ProgramAction struct{ Action program.Action }
 
-// Deposed says that another writer was met; the owner is of no more use.
-type Deposed struct{ By journal.Ballot }
+// OwnershipLost reports that another instance owns the run. The owner must be
+// discarded.
+type OwnershipLost struct{ By journal.Ballot }
 
-// Abandoned says that too few members answered for long; the owner is of no more
-// use, and another one may start from what is known by then.
+// Abandoned reports that too few members have answered for too long. The owner
+// must be discarded, and a new one may be started.
 type Abandoned struct{}
 
-func (Send) action()      {}
-func (Do) action()        {}
-func (Deposed) action()   {}
-func (Abandoned) action() {}
+func (Send) action()          {}
+func (ProgramAction) action() {}
+func (OwnershipLost) action() {}
+func (Abandoned) action()     {}
 
-// Owner owns one run. Set the exported fields before the first event.
+// Owner owns one run. The exported fields are set before the first event.
 type Owner struct {
-	// Run is the run's id and the journal's name.
+	// Run is the id of the run and the name of its journal.
 	Run string
 	// Domain is the run's home failure domain.
 	Domain string
-	// Self is the own replica.
+	// Self is the owner's own member.
 	Self journal.Member
-	// Incarnation is the number of this life of the process.
+	// Incarnation identifies this start of the process.
 	Incarnation uint64
-	// Initial is the set of members of a run that does not exist yet.
-	Initial journal.Members
-	// Keyed is true when the run's creation may be resent to another instance.
-	Keyed bool
-	// Replica is the own copy if there is one, to start from.
+	// InitialMembers is the set of members of a run that does not exist yet.
+	InitialMembers journal.Members
+	// ConcurrentCreate is true if the run's creation may be resent to another
+	// instance.
+	ConcurrentCreate bool
+	// Replica is the owner's own copy of the journal, or nil.
 	Replica *journal.Replica
 	Machine program.Machine
 
 	writer journal.Writer
 	// started is when the campaign began.
 	started time.Time
-	// early are program events that wait for the journal to serve.
+	// early holds program events that wait for the journal to serve.
 	early []program.Event
-	// unproven are answers that are true only if this is still the owner.
+	// unproven holds replies that are valid only if this is still the owner.
 	unproven []unproven
-	// whole is false while the set of members should change; exposed is true
-	// while a loss could leave too few copies.
+	// whole is true if the set of members needs no change. exposed is true if the
+	// loss of a member could leave too few copies.
 	whole, exposed bool
 }
 
-// unproven is an answer that waits for a confirmation of the ownership.
+// unproven is a reply that waits for the ownership to be confirmed.
 type unproven struct {
 	number uint64
 	tell   program.Reply
 }
 
-// Serves reports whether the owner's journal serves.
+// Serves reports whether the owner's journal accepts proposals.
 func (o *Owner) Serves() bool { return o.writer.Serves() }
 
-// Whole reports whether the journal's replicas are as they should be.
-func (o *Owner) Whole() bool { return o.whole }
+// FullyReplicated reports whether the journal has all its replicas.
+func (o *Owner) FullyReplicated() bool { return o.whole }
 
-// Exposed reports whether a loss could leave too few copies, as of the last tick.
-func (o *Owner) Exposed() bool { return o.exposed }
+// AtRisk reports whether, as of the last tick, the journal does not serve or the
+// loss of leaving members would leave too few copies or votes.
+func (o *Owner) AtRisk() bool { return o.exposed }
 
-// Members returns the journal's members.
+// Members returns the members of the journal.
 func (o *Owner) Members() journal.Members { return o.writer.Members() }
 
-// Writer returns the journal's writer, for status.
+// Writer returns the writer of the journal. It is used for status only.
 func (o *Owner) Writer() *journal.Writer { return &o.writer }
 
-// Handle takes one event.
+// Handle processes one event and returns the resulting actions.
 func (o *Owner) Handle(now time.Time, e Event) []Action {
 	switch e := e.(type) {
 	case Start:
 		o.started = now
-		o.writer = journal.Writer{Self: o.Self, Incarnation: o.Incarnation, Initial: o.Initial, ConcurrentCreate: o.Keyed}
+		o.writer = journal.Writer{Self: o.Self, Incarnation: o.Incarnation, Initial: o.InitialMembers, ConcurrentCreate: o.ConcurrentCreate}
 		if o.Replica != nil {
 			o.writer.Restore(o.Replica)
 		}
 		return o.journal(now, journal.Campaign{Round: e.Round})
 	case Replied:
 		return o.journal(now, journal.Replied{From: e.From, Reply: e.Reply})
-	case Lost:
+	case NoReply:
 		return o.journal(now, journal.NoReply{To: e.To})
-	case Asked:
+	case ProgramEvent:
 		return o.ask(now, e.Event)
 	case Ticked:
 		return o.tick(now, e.View)
@@ -153,7 +157,7 @@
 
 func (o *Owner) tick(now time.Time, v *roster.View) []Action {
 	out := o.journal(now, journal.Resend{})
-	o.exposed = !o.writer.Serves() || v != nil && Exposed(o.writer.Members(), v, o.Run, o.Domain)
+	o.exposed = !o.writer.Serves() || v != nil && AtRisk(o.writer.Members(), v, o.Run, o.Domain)
 	if !o.writer.Serves() {
 		if now.Sub(o.started) < serveWait {
 			return out
@@ -191,7 +195,7 @@
 		if !ok {
 			continue
 		}
-		out = append(out, Do{Action: program.Reply{ID: id, Event: problem.Event(p), Done: true}})
+		out = append(out, ProgramAction{Action: program.Reply{ID: id, Event: problem.Event(p), Done: true}})
 	}
 	o.early = nil
 	return out
@@ -212,7 +216,7 @@
 			out = append(out, o.sendOn(a.By.Instance())...)
 			out = append(out, o.do(now, o.Machine.Handle(now, program.OwnershipLost{By: a.By.Instance()}))...)
 			out = append(out, o.release(now)...)
-			out = append(out, Deposed{By: a.By})
+			out = append(out, OwnershipLost{By: a.By})
 		}
 	}
 	return out
@@ -226,7 +230,7 @@
 		if e.Payload() == nil {
 			continue
 		}
-		out = append(out, o.do(now, o.Machine.Handle(now, program.Recorded{Records: Records(e.Payload())}))...)
+		out = append(out, o.do(now, o.Machine.Handle(now, program.Recorded{Records: DecodeRecords(e.Payload())}))...)
 	}
 	if o.Machine.Loaded() {
 		return out
@@ -256,7 +260,7 @@
 		}
 		c, ok := a.(program.Commit)
 		if !ok {
-			out = append(out, Do{Action: a})
+			out = append(out, ProgramAction{Action: a})
 			continue
 		}
 		payload, err := proto.MarshalOptions{Deterministic: true}.Marshal(&recordpb.Batch{Records: c.Records})
@@ -290,7 +294,7 @@
 			kept = append(kept, u)
 			continue
 		}
-		out = append(out, Do{Action: u.tell})
+		out = append(out, ProgramAction{Action: u.tell})
 	}
 	o.unproven = kept
 	return out
@@ -301,15 +305,15 @@
 	var out []Action
 	for _, u := range o.unproven {
 		e := &peerpb.DoEvent{Body: &peerpb.DoEvent_Redirect{Redirect: &peerpb.Redirect{Instance: instance}}}
-		out = append(out, Do{Action: program.Reply{ID: u.tell.ID, Event: e, Done: true}})
+		out = append(out, ProgramAction{Action: program.Reply{ID: u.tell.ID, Event: e, Done: true}})
 	}
 	o.unproven = nil
 	return out
 }
 
-// Records decodes the payload of an entry; a payload that does not decode
-// holds no records.
-func Records(payload []byte) []*recordpb.Record {
+// DecodeRecords decodes the payload of an entry. It returns nil if the payload is
+// invalid.
+func DecodeRecords(payload []byte) []*recordpb.Record {
 	var b recordpb.Batch
 	if err := proto.Unmarshal(payload, &b); err != nil {
 		return nil
--- a/rockbarrow/owner/owner_test.go
+++ b/rockbarrow/owner/owner_test.go
@@ -25,7 +25,7 @@
 			case Send:
 				reply, _ := t.replicas[a.To].Handle(a.Message)
 				queue = append(queue, Replied{From: a.To, Reply: reply})
-			case Do:
+			case ProgramAction:
 				if tell, ok := a.Action.(program.Reply); ok {
 					out[tell.ID] = tell.Event
 				}
@@ -36,8 +36,8 @@
 	return out
 }
 
-func call(id program.CallID, seq uint64) Asked {
-	return Asked{Event: program.CallReceived{ID: id, Customer: "c", Turn: &peerpb.Turn{
+func call(id program.CallID, seq uint64) ProgramEvent {
+	return ProgramEvent{Event: program.CallReceived{ID: id, Customer: "c", Turn: &peerpb.Turn{
 		Sequence: seq, RequestId: fmt.Sprint("r", id), Messages: []*recordpb.Message{{Role: "user", Content: "x"}}, Repeatable: true,
 	}}}
 }
@@ -71,7 +71,7 @@
 	if got := tr.told(&tr.o, call(50, 0)); !got[50].GetProblem().GetNotRun() {
 		t.Fatalf("the owner said %v, want a refusal that is certain", got[50])
 	}
-	got := tr.told(&tr.o, Asked{Event: program.ViewRequested{ID: 51, Customer: "c"}})
+	got := tr.told(&tr.o, ProgramEvent{Event: program.ViewRequested{ID: 51, Customer: "c"}})
 	if got[51].GetView().GetRun() != "d.r" {
 		t.Fatalf("the owner showed %v", got[51])
 	}
--- a/rockbarrow/owner/plan.go
+++ b/rockbarrow/owner/plan.go
@@ -14,12 +14,12 @@
 	maxMembers = 5
 )
 
-// Initial returns the members of a new run: the first instances of its home
-// domain in rendezvous order, one with a disk among them where the domain has
-// one, and a witness of another domain where the home has too few. It depends
-// on the names alone, so that two instances that create the same run ask the
-// same replicas.
-func Initial(v *roster.View, run, domain string) journal.Members {
+// InitialMembers returns the members of a new run: the first instances of its
+// home failure domain in rendezvous order, among them one with a disk if there
+// is one, and a witness in another failure domain if the home has too few
+// instances. The choice depends only on names, so instances that create the same
+// run choose the same members.
+func InitialMembers(v *roster.View, run, domain string) journal.Members {
 	home := v.Ranked(run, domain, true)
 	var out journal.Members
 	for _, i := range home[:min(copies, len(home))] {
@@ -151,11 +151,12 @@
 	return nil
 }
 
-// Exposed reports whether the members that stay are fewer copies than commits
-// need, or fewer votes than a majority, while an instance is there that could
-// take a seat. The lives of witnesses count too: in a domain of two, the loss of
-// the witness and of one instance leaves a single vote.
-func Exposed(members journal.Members, v *roster.View, run, domain string) bool {
+// AtRisk reports whether the members that are not leaving have too few copies to
+// commit or too few votes for a majority, while another instance could become a
+// member. A witness that has restarted does not count: in a failure domain of
+// two instances, the loss of the witness and of one instance leaves a single
+// vote.
+func AtRisk(members journal.Members, v *roster.View, run, domain string) bool {
 	c := count(members, v, run, domain, never)
 	if c.copies < 2 && len(c.spareCopies) > 0 {
 		return true
@@ -163,8 +164,8 @@
 	return len(c.live) < members.Majority() && len(c.spareCopies)+len(c.spareWitness) > 0
 }
 
-// Damaged reports whether an owner would change the members.
-func Damaged(members journal.Members, v *roster.View, run, domain string, self journal.Member) bool {
+// NeedsRepair reports whether an owner would change the members.
+func NeedsRepair(members journal.Members, v *roster.View, run, domain string, self journal.Member) bool {
 	return plan(members, v, run, domain, self, never) != nil
 }
 
--- a/rockbarrow/owner/plan_test.go
+++ b/rockbarrow/owner/plan_test.go
@@ -24,11 +24,11 @@
 	}
 	table.Handle(time.Unix(1000, 0), roster.Heard{Beats: []roster.Beat{beat("n1", 1, true), beat("n2", 1, false), beat("w1", 2, false)}})
 	lost := journal.Members{journal.NewMember("n1", 1), journal.NewMember("n2", 1), journal.NewMember("w1", 1).WithWitness()}
-	if !Exposed(lost, table.View(), "north.r", "north") {
+	if !AtRisk(lost, table.View(), "north.r", "north") {
 		t.Fatal("the stop would leave one vote of three")
 	}
 	whole := journal.Members{lost[0], lost[1], journal.NewMember("w1", 2).WithWitness()}
-	if Exposed(whole, table.View(), "north.r", "north") {
+	if AtRisk(whole, table.View(), "north.r", "north") {
 		t.Fatal("the stop waits although two votes of three stay")
 	}
 }
--- a/rockbarrow/owner/records_test.go
+++ b/rockbarrow/owner/records_test.go
@@ -28,7 +28,7 @@
 	f.Add(raw)
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		var s program.State
-		for _, r := range Records(raw) {
+		for _, r := range DecodeRecords(raw) {
 			open := s.OpenTurn() != nil
 			if err := s.Apply(r); err != nil {
 				continue
