--- a/rockbarrow/owner/bench_test.go
+++ b/rockbarrow/owner/bench_test.go
@@ -18,8 +18,8 @@
 	"rockbarrow.dev/schema/recordpb"
 )
 
-// trio is an owner and three replicas in memory that answer at once.
-type trio struct {
+// testRun is an owner with three replicas in memory that reply immediately.
+type testRun struct {
 	o        Owner
 	replicas map[journal.Member]*journal.Replica
 	messages int
@@ -28,19 +28,19 @@
 	answered int
 }
 
-func newTrio(count bool) *trio {
+func newTestRun(count bool) *testRun {
 	m := journal.Members{journal.NewMember("a", 1), journal.NewMember("b", 1), journal.NewMember("c", 1)}
-	t := &trio{replicas: map[journal.Member]*journal.Replica{}, count: count}
+	t := &testRun{replicas: map[journal.Member]*journal.Replica{}, count: count}
 	for _, one := range m {
 		t.replicas[one] = &journal.Replica{}
 	}
 	t.o = Owner{Run: "d.r", Domain: "d", Self: m[0], Incarnation: 1, InitialMembers: m}
-	t.do(Start{Round: 1})
-	t.do(ProgramEvent{Event: program.CreateRequested{ID: 1, Created: &recordpb.Created{Run: "d.r", Customer: "c", BudgetTokens: 1 << 40, MaxCalls: 1 << 30, MaxAnswerTokens: 1000}}})
+	t.handle(Start{Round: 1})
+	t.handle(ProgramEvent{Event: program.CreateRequested{ID: 1, Created: &recordpb.Created{Run: "d.r", Customer: "c", BudgetTokens: 1 << 40, MaxCalls: 1 << 30, MaxAnswerTokens: 1000}}})
 	return t
 }
 
-func (t *trio) do(e Event) {
+func (t *testRun) handle(e Event) {
 	queue := []Event{e}
 	now := time.Unix(1000, 0)
 	for len(queue) > 0 {
@@ -50,17 +50,17 @@
 			switch a := a.(type) {
 			case Send:
 				reply, _ := t.replicas[a.To].Handle(a.Message)
-				t.tally(a, reply)
+				t.countTraffic(a, reply)
 				queue = append(queue, Replied{From: a.To, Reply: reply})
 			case ProgramAction:
-				queue = append(queue, t.act(a.Action)...)
+				queue = append(queue, t.performAction(a.Action)...)
 			}
 		}
 	}
 }
 
-// tally counts what would cross the network.
-func (t *trio) tally(a Send, reply journal.Reply) {
+// countTraffic counts the messages and bytes that would cross the network.
+func (t *testRun) countTraffic(a Send, reply journal.Reply) {
 	if !t.count || a.To.Is(t.o.Self) {
 		return
 	}
@@ -68,7 +68,7 @@
 	t.bytes += proto.Size(wire.Request("d.0123456789abcdef01234567", a.To, a.Message)) + proto.Size(wire.Reply(a.To, reply))
 }
 
-func (t *trio) act(a program.Action) []Event {
+func (t *testRun) performAction(a program.Action) []Event {
 	switch a := a.(type) {
 	case program.Place:
 		return []Event{ProgramEvent{Event: program.Placed{Sequence: a.Sequence, Attempt: a.Attempt, Endpoint: "engine-1", Domain: "d", ConfigVersion: 7, Reason: "expected 12.0 ms, 900 prompt tokens held there, 40 to compute"}}}
@@ -85,9 +85,9 @@
 	return nil
 }
 
-// turn makes one call of about 100 new prompt tokens and 300 answer tokens.
-func (t *trio) turn(n int) {
-	t.do(ProgramEvent{Event: program.CallReceived{ID: program.CallID(n + 10), Customer: "c", Turn: &peerpb.Turn{
+// makeCall makes one call of about 100 new prompt tokens and 300 answer tokens.
+func (t *testRun) makeCall(n int) {
+	t.handle(ProgramEvent{Event: program.CallReceived{ID: program.CallID(n + 10), Customer: "c", Turn: &peerpb.Turn{
 		Sequence: uint64(n), RequestId: fmt.Sprintf("d.0123456789abcdef01234567/%d", n), Repeatable: true,
 		Messages: []*recordpb.Message{{Role: "user", Content: words(100)}}, MaxAnswerTokens: 400,
 	}}})
@@ -96,9 +96,8 @@
 // words returns text of about n tokens of four bytes.
 func words(n int) string { return strings.Repeat("abc ", n) }
 
-// BenchmarkTurn measures the stepped cost of one call with three copies, for
-// runs that already hold some calls: it must not grow with them. It reports the
-// messages and bytes that cross the network for one call.
+// BenchmarkTurn measures one call with three copies. Its cost must not grow with
+// the number of earlier calls. It reports the messages and bytes sent per call.
 func BenchmarkTurn(b *testing.B) {
 	for _, before := range []int{0, 10, 57} {
 		b.Run(fmt.Sprintf("after=%d", before), func(b *testing.B) {
@@ -106,13 +105,13 @@
 			var messages, bytes int
 			for b.Loop() {
 				b.StopTimer()
-				t := newTrio(true)
+				t := newTestRun(true)
 				for n := 1; n <= before; n++ {
-					t.turn(n)
+					t.makeCall(n)
 				}
 				t.messages, t.bytes = 0, 0
 				b.StartTimer()
-				t.turn(before + 1)
+				t.makeCall(before + 1)
 				messages, bytes = t.messages, t.bytes
 			}
 			b.ReportMetric(float64(messages), "messages/op")
@@ -121,33 +120,33 @@
 	}
 }
 
-// BenchmarkRunMemory measures the memory of one run's copy, and of the owner
-// beside it, by the tokens of its history.
+// BenchmarkRunMemory measures the memory of an owner and its replicas by the
+// tokens of the run's history.
 func BenchmarkRunMemory(b *testing.B) {
 	for _, turns := range []int{3, 25, 250} {
 		b.Run(fmt.Sprintf("tokens=%d", turns*400), func(b *testing.B) {
 			for b.Loop() {
-				before := heap()
+				before := heapSize()
 				const runs = 8
-				var kept []*trio
+				var kept []*testRun
 				for range runs {
-					t := newTrio(false)
+					t := newTestRun(false)
 					for n := 1; n <= turns; n++ {
-						t.turn(n)
+						t.makeCall(n)
 					}
 					if t.answered != turns {
 						b.Fatalf("%d of %d calls answered", t.answered, turns)
 					}
 					kept = append(kept, t)
 				}
-				b.ReportMetric(float64(heap()-before)/runs, "bytes/run")
+				b.ReportMetric(float64(heapSize()-before)/runs, "bytes/run")
 				runtime.KeepAlive(kept)
 			}
 		})
 	}
 }
 
-func heap() int64 {
+func heapSize() int64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -155,19 +154,19 @@
 	return int64(m.HeapAlloc)
 }
 
-// BenchmarkReplicaMemory measures the memory of a copy at an instance that does
-// not own the run.
+// BenchmarkReplicaMemory measures the memory of a replica at an instance that
+// does not own the run.
 func BenchmarkReplicaMemory(b *testing.B) {
 	for _, turns := range []int{3, 25, 250} {
 		b.Run(fmt.Sprintf("tokens=%d", turns*400), func(b *testing.B) {
-			t := newTrio(false)
+			t := newTestRun(false)
 			for n := 1; n <= turns; n++ {
-				t.turn(n)
+				t.makeCall(n)
 			}
 			to := journal.NewMember("b", 1)
 			log := t.replicas[to].Log()
 			for b.Loop() {
-				before := heap()
+				before := heapSize()
 				const runs = 8
 				var kept []*journal.Replica
 				for range runs {
@@ -185,11 +184,11 @@
 						r.Handle(wire.ToMessage(&req))
 					}
 					if r.Log().LastIndex() != log.LastIndex() {
-						b.Fatal("the copy is not whole")
+						b.Fatal("the replica is incomplete")
 					}
 					kept = append(kept, r)
 				}
-				b.ReportMetric(float64(heap()-before)/runs, "bytes/run")
+				b.ReportMetric(float64(heapSize()-before)/runs, "bytes/run")
 				runtime.KeepAlive(kept)
 			}
 		})
--- a/rockbarrow/owner/doc.go
+++ b/rockbarrow/owner/doc.go
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: MIT
 
-// Package owner joins the two halves of owning a run: the writer of its journal
-// and its [program.Machine], and keeps the journal's replicas whole.
+// Package owner combines the writer of a run's journal with its
+// [program.Machine], and maintains the replicas of the journal.
 //
-// An [Owner] is stepped like its halves:
+// An [Owner] handles events and returns actions:
 //
 //	o := owner.Owner{Run: id, Self: member, InitialMembers: owner.InitialMembers(view, id, domain)}
 //	for _, a := range o.Handle(now, owner.Start{Round: 1}) {
--- a/rockbarrow/owner/owner.go
+++ b/rockbarrow/owner/owner.go
@@ -15,8 +15,8 @@
 	"rockbarrow.dev/schema/recordpb"
 )
 
-// serveWait is how long callers wait for the journal to serve.
-const serveWait = 5 * time.Second
+// serveTimeout is how long callers wait for the journal to serve.
+const serveTimeout = 5 * time.Second
 
 // Event is an input of an [Owner].
 type Event interface{ event() }
@@ -93,30 +93,30 @@
 	writer journal.Writer
 	// started is when the campaign began.
 	started time.Time
-	// early holds program events that wait for the journal to serve.
-	early []program.Event
-	// unproven holds replies that are valid only if this is still the owner.
-	unproven []unproven
-	// whole is true if the set of members needs no change. exposed is true if the
-	// loss of a member could leave too few copies.
-	whole, exposed bool
+	// queuedEvents holds program events that wait for the journal to serve.
+	queuedEvents []program.Event
+	// unconfirmed holds replies that are valid only if this is still the owner.
+	unconfirmed []unconfirmedReply
+	// fullyReplicated is true if the set of members needs no change. atRisk is true
+	// if the stop of leaving members could leave too few copies or votes.
+	fullyReplicated, atRisk bool
 }
 
-// unproven is a reply that waits for the ownership to be confirmed.
-type unproven struct {
+// unconfirmedReply is a reply that waits for the ownership to be confirmed.
+type unconfirmedReply struct {
 	number uint64
-	tell   program.Reply
+	reply  program.Reply
 }
 
 // Serves reports whether the owner's journal accepts proposals.
 func (o *Owner) Serves() bool { return o.writer.Serves() }
 
 // FullyReplicated reports whether the journal has all its replicas.
-func (o *Owner) FullyReplicated() bool { return o.whole }
+func (o *Owner) FullyReplicated() bool { return o.fullyReplicated }
 
 // AtRisk reports whether, as of the last tick, the journal does not serve or the
 // loss of leaving members would leave too few copies or votes.
-func (o *Owner) AtRisk() bool { return o.exposed }
+func (o *Owner) AtRisk() bool { return o.atRisk }
 
 // Members returns the members of the journal.
 func (o *Owner) Members() journal.Members { return o.writer.Members() }
@@ -133,76 +133,77 @@
 		if o.Replica != nil {
 			o.writer.Restore(o.Replica)
 		}
-		return o.journal(now, journal.Campaign{Round: e.Round})
+		return o.stepWriter(now, journal.Campaign{Round: e.Round})
 	case Replied:
-		return o.journal(now, journal.Replied{From: e.From, Reply: e.Reply})
+		return o.stepWriter(now, journal.Replied{From: e.From, Reply: e.Reply})
 	case NoReply:
-		return o.journal(now, journal.NoReply{To: e.To})
+		return o.stepWriter(now, journal.NoReply{To: e.To})
 	case ProgramEvent:
-		return o.ask(now, e.Event)
+		return o.programEvent(now, e.Event)
 	case Ticked:
 		return o.tick(now, e.View)
 	}
 	return nil
 }
 
-// ask holds events back until the program has its whole journal.
-func (o *Owner) ask(now time.Time, e program.Event) []Action {
+// programEvent passes an event to the program, or queues it until the program has
+// loaded the journal.
+func (o *Owner) programEvent(now time.Time, e program.Event) []Action {
 	if !o.Machine.Loaded() && !o.writer.Superseded() {
-		o.early = append(o.early, e)
+		o.queuedEvents = append(o.queuedEvents, e)
 		return nil
 	}
-	return o.do(now, o.Machine.Handle(now, e))
+	return o.perform(now, o.Machine.Handle(now, e))
 }
 
 func (o *Owner) tick(now time.Time, v *roster.View) []Action {
-	out := o.journal(now, journal.Resend{})
-	o.exposed = !o.writer.Serves() || v != nil && AtRisk(o.writer.Members(), v, o.Run, o.Domain)
+	out := o.stepWriter(now, journal.Resend{})
+	o.atRisk = !o.writer.Serves() || v != nil && AtRisk(o.writer.Members(), v, o.Run, o.Domain)
 	if !o.writer.Serves() {
-		if now.Sub(o.started) < serveWait {
+		if now.Sub(o.started) < serveTimeout {
 			return out
 		}
-		out = append(out, o.turnAway(now)...)
+		out = append(out, o.refuseQueued(now)...)
 		return append(out, Abandoned{})
 	}
 	if o.Machine.Loaded() {
-		out = append(out, o.do(now, o.Machine.Handle(now, program.Ticked{}))...)
-	} else if now.Sub(o.started) >= serveWait {
-		out = append(out, o.turnAway(now)...)
+		out = append(out, o.perform(now, o.Machine.Handle(now, program.Ticked{}))...)
+	} else if now.Sub(o.started) >= serveTimeout {
+		out = append(out, o.refuseQueued(now)...)
 	}
 	if v == nil {
 		return out
 	}
-	if blocked(o.writer.Members(), v, o.writer.NonVoting) && o.writer.ChangingMembers() {
-		out = append(out, o.do(now, o.Machine.Handle(now, program.OwnershipLost{By: o.Self.Instance()}))...)
-		out = append(out, o.sendOn(o.Self.Instance())...)
+	if lostAllDisks(o.writer.Members(), v, o.writer.NonVoting) && o.writer.ChangingMembers() {
+		out = append(out, o.perform(now, o.Machine.Handle(now, program.OwnershipLost{By: o.Self.Instance()}))...)
+		out = append(out, o.redirectUnconfirmed(o.Self.Instance())...)
 		return append(out, Abandoned{})
 	}
-	step := plan(o.writer.Members(), v, o.Run, o.Domain, o.Self, o.writer.NonVoting)
-	o.whole = step == nil && !o.writer.ChangingMembers()
+	step := nextChange(o.writer.Members(), v, o.Run, o.Domain, o.Self, o.writer.NonVoting)
+	o.fullyReplicated = step == nil && !o.writer.ChangingMembers()
 	if step != nil {
-		out = append(out, o.journal(now, step)...)
+		out = append(out, o.stepWriter(now, step)...)
 	}
 	return out
 }
 
-// turnAway refuses what waited for the journal; nothing was proposed.
-func (o *Owner) turnAway(now time.Time) []Action {
+// refuseQueued refuses the queued requests. None of them has been proposed.
+func (o *Owner) refuseQueued(now time.Time) []Action {
 	p := problem.Retry(problem.NotServing, "too few replicas of the run answer", time.Second)
 	var out []Action
-	for _, e := range o.early {
+	for _, e := range o.queuedEvents {
 		id, ok := program.CallerOf(e)
 		if !ok {
 			continue
 		}
 		out = append(out, ProgramAction{Action: program.Reply{ID: id, Event: problem.Event(p), Done: true}})
 	}
-	o.early = nil
+	o.queuedEvents = nil
 	return out
 }
 
-// journal steps the writer and everything that follows from it.
-func (o *Owner) journal(now time.Time, e journal.Event) []Action {
+// stepWriter passes an event to the writer and performs the resulting actions.
+func (o *Owner) stepWriter(now time.Time, e journal.Event) []Action {
 	var out []Action
 	for _, a := range o.writer.Handle(e) {
 		switch a := a.(type) {
@@ -211,50 +212,51 @@
 		case journal.Committed:
 			out = append(out, o.committed(now, a.Entries)...)
 		case journal.Confirmed:
-			out = append(out, o.prove(a.Number)...)
+			out = append(out, o.confirmed(a.Number)...)
 		case journal.Superseded:
-			out = append(out, o.sendOn(a.By.Instance())...)
-			out = append(out, o.do(now, o.Machine.Handle(now, program.OwnershipLost{By: a.By.Instance()}))...)
-			out = append(out, o.release(now)...)
+			out = append(out, o.redirectUnconfirmed(a.By.Instance())...)
+			out = append(out, o.perform(now, o.Machine.Handle(now, program.OwnershipLost{By: a.By.Instance()}))...)
+			out = append(out, o.handleQueued(now)...)
 			out = append(out, OwnershipLost{By: a.By})
 		}
 	}
 	return out
 }
 
-// committed folds entries. The first ones after a takeover are the whole
-// journal; only then is the program loaded.
+// committed applies entries to the program. The first entries after a takeover
+// are the whole journal, and the program is loaded after them.
 func (o *Owner) committed(now time.Time, entries []journal.Entry) []Action {
 	var out []Action
 	for _, e := range entries {
 		if e.Payload() == nil {
 			continue
 		}
-		out = append(out, o.do(now, o.Machine.Handle(now, program.Recorded{Records: DecodeRecords(e.Payload())}))...)
+		out = append(out, o.perform(now, o.Machine.Handle(now, program.Recorded{Records: DecodeRecords(e.Payload())}))...)
 	}
 	if o.Machine.Loaded() {
 		return out
 	}
-	out = append(out, o.do(now, o.Machine.Handle(now, program.Loaded{}))...)
-	return append(out, o.release(now)...)
+	out = append(out, o.perform(now, o.Machine.Handle(now, program.Loaded{}))...)
+	return append(out, o.handleQueued(now)...)
 }
 
-// release hands the events that came early to the program.
-func (o *Owner) release(now time.Time) []Action {
-	early := o.early
-	o.early = nil
+// handleQueued passes the queued events to the program.
+func (o *Owner) handleQueued(now time.Time) []Action {
+	early := o.queuedEvents
+	o.queuedEvents = nil
 	var out []Action
 	for _, e := range early {
-		out = append(out, o.do(now, o.Machine.Handle(now, e))...)
+		out = append(out, o.perform(now, o.Machine.Handle(now, e))...)
 	}
 	return out
 }
 
-// do turns the program's commits into proposals and passes the rest on.
-func (o *Owner) do(now time.Time, actions []program.Action) []Action {
+// perform proposes the program's commits, holds replies back that need a
+// confirmation, and returns all other actions to the host.
+func (o *Owner) perform(now time.Time, actions []program.Action) []Action {
 	var out []Action
 	for _, a := range actions {
-		if t, ok := a.(program.Reply); ok && !o.writer.Superseded() && needsProof(t) {
+		if t, ok := a.(program.Reply); ok && !o.writer.Superseded() && needsConfirmation(t) {
 			out = append(out, o.confirm(now, t)...)
 			continue
 		}
@@ -265,49 +267,51 @@
 		}
 		payload, err := proto.MarshalOptions{Deterministic: true}.Marshal(&recordpb.Batch{Records: c.Records})
 		if err != nil {
-			// Only invalid UTF-8 cannot be encoded, and adapters refuse it.
+			// Encoding fails only on invalid UTF-8, which adapters refuse.
 			continue
 		}
-		out = append(out, o.journal(now, journal.Propose{Payload: payload})...)
+		out = append(out, o.stepWriter(now, journal.Propose{Payload: payload})...)
 	}
 	return out
 }
 
-// needsProof reports whether an answer would be false if another instance had
-// become the owner: that a request did not run, or what the run looks like.
-func needsProof(t program.Reply) bool {
+// needsConfirmation reports whether a reply could be wrong if another instance had
+// become the owner: a refusal that claims that a request did not run, or a view.
+func needsConfirmation(t program.Reply) bool {
 	return t.Event.GetProblem().GetNotRun() || t.Event.GetView() != nil
 }
 
-// confirm keeps an answer back until a majority has confirmed the ownership.
+// confirm holds a reply back until a majority has confirmed the ownership.
 func (o *Owner) confirm(now time.Time, t program.Reply) []Action {
-	out := o.journal(now, journal.Confirm{})
-	o.unproven = append(o.unproven, unproven{number: o.writer.LastConfirm(), tell: t})
+	out := o.stepWriter(now, journal.Confirm{})
+	o.unconfirmed = append(o.unconfirmed, unconfirmedReply{number: o.writer.LastConfirm(), reply: t})
 	return out
 }
 
-func (o *Owner) prove(number uint64) []Action {
+// confirmed sends the replies that wait for a confirmation up to number.
+func (o *Owner) confirmed(number uint64) []Action {
 	var out []Action
-	kept := o.unproven[:0:0]
-	for _, u := range o.unproven {
+	kept := o.unconfirmed[:0:0]
+	for _, u := range o.unconfirmed {
 		if u.number > number {
 			kept = append(kept, u)
 			continue
 		}
-		out = append(out, ProgramAction{Action: u.tell})
+		out = append(out, ProgramAction{Action: u.reply})
 	}
-	o.unproven = kept
+	o.unconfirmed = kept
 	return out
 }
 
-// sendOn redirects those whose answer can no longer be proven.
-func (o *Owner) sendOn(instance string) []Action {
+// redirectUnconfirmed redirects the callers whose replies can no longer be
+// confirmed.
+func (o *Owner) redirectUnconfirmed(instance string) []Action {
 	var out []Action
-	for _, u := range o.unproven {
+	for _, u := range o.unconfirmed {
 		e := &peerpb.DoEvent{Body: &peerpb.DoEvent_Redirect{Redirect: &peerpb.Redirect{Instance: instance}}}
-		out = append(out, ProgramAction{Action: program.Reply{ID: u.tell.ID, Event: e, Done: true}})
+		out = append(out, ProgramAction{Action: program.Reply{ID: u.reply.ID, Event: e, Done: true}})
 	}
-	o.unproven = nil
+	o.unconfirmed = nil
 	return out
 }
 
--- a/rockbarrow/owner/owner_test.go
+++ b/rockbarrow/owner/owner_test.go
@@ -13,8 +13,9 @@
 	"rockbarrow.dev/schema/recordpb"
 )
 
-// told steps an owner against a trio's replicas and returns what callers hear.
-func (t *trio) told(o *Owner, e Event) map[program.CallID]*peerpb.DoEvent {
+// repliesFrom passes an event to an owner and returns the last reply to each
+// caller.
+func (t *testRun) repliesFrom(o *Owner, e Event) map[program.CallID]*peerpb.DoEvent {
 	out := map[program.CallID]*peerpb.DoEvent{}
 	queue := []Event{e}
 	for len(queue) > 0 {
@@ -29,50 +30,51 @@
 				if tell, ok := a.Action.(program.Reply); ok {
 					out[tell.ID] = tell.Event
 				}
-				queue = append(queue, t.act(a.Action)...)
+				queue = append(queue, t.performAction(a.Action)...)
 			}
 		}
 	}
 	return out
 }
 
-func call(id program.CallID, seq uint64) ProgramEvent {
+func newCall(id program.CallID, seq uint64) ProgramEvent {
 	return ProgramEvent{Event: program.CallReceived{ID: id, Customer: "c", Turn: &peerpb.Turn{
 		Sequence: seq, RequestId: fmt.Sprint("r", id), Messages: []*recordpb.Message{{Role: "user", Content: "x"}}, Repeatable: true,
 	}}}
 }
 
-// TestStaleOwnerSaysNothingThatMayBeFalse lets a second owner take over behind
-// the first one's back, which then refuses a call and shows the run.
-func TestStaleOwnerSaysNothingThatMayBeFalse(t *testing.T) {
-	tr := newTrio(false)
+// TestStaleOwnerDoesNotRefuse checks that an owner that has not noticed a takeover
+// redirects calls and does not refuse them.
+func TestStaleOwnerDoesNotRefuse(t *testing.T) {
+	tr := newTestRun(false)
 	b := journal.NewMember("b", 1)
 	next := &Owner{Run: "d.r", Domain: "d", Self: b, Incarnation: 2, Replica: tr.replicas[b]}
-	tr.told(next, Start{Round: 2})
-	if got := tr.told(next, call(50, 1)); got[50].GetFinal() == nil {
+	tr.repliesFrom(next, Start{Round: 2})
+	if got := tr.repliesFrom(next, newCall(50, 1)); got[50].GetFinal() == nil {
 		t.Fatalf("the second owner answered %v", got[50])
 	}
-	got := tr.told(&tr.o, call(51, 7000))
+	got := tr.repliesFrom(&tr.o, newCall(51, 7000))
 	if got[51] != nil && got[51].GetProblem() != nil {
 		t.Fatalf("a stale owner refused with %v", got[51])
 	}
-	got = tr.told(&tr.o, call(52, 0))
+	got = tr.repliesFrom(&tr.o, newCall(52, 0))
 	if p := got[52].GetProblem(); p.GetNotRun() {
-		t.Fatalf("a stale owner said %v of a request that its successor may have run", p)
+		t.Fatalf("a stale owner replied %v to a request that its successor may have run", p)
 	}
 	if got[52].GetRedirect() == nil {
-		t.Fatalf("a stale owner said %v, want a redirect", got[52])
+		t.Fatalf("a stale owner replied %v, want a redirect", got[52])
 	}
 }
 
-// TestOwnerProvesItselfBeforeItShowsARun lets the true owner do the same.
-func TestOwnerProvesItselfBeforeItShowsARun(t *testing.T) {
-	tr := newTrio(false)
-	if got := tr.told(&tr.o, call(50, 0)); !got[50].GetProblem().GetNotRun() {
-		t.Fatalf("the owner said %v, want a refusal that is certain", got[50])
+// TestOwnerRepliesAfterConfirmation checks that an owner sends refusals and views
+// once its ownership is confirmed.
+func TestOwnerRepliesAfterConfirmation(t *testing.T) {
+	tr := newTestRun(false)
+	if got := tr.repliesFrom(&tr.o, newCall(50, 0)); !got[50].GetProblem().GetNotRun() {
+		t.Fatalf("the owner replied %v, want a refusal with not_run", got[50])
 	}
-	got := tr.told(&tr.o, ProgramEvent{Event: program.ViewRequested{ID: 51, Customer: "c"}})
+	got := tr.repliesFrom(&tr.o, ProgramEvent{Event: program.ViewRequested{ID: 51, Customer: "c"}})
 	if got[51].GetView().GetRun() != "d.r" {
-		t.Fatalf("the owner showed %v", got[51])
+		t.Fatalf("the owner replied %v, want a view of the run", got[51])
 	}
 }
--- a/rockbarrow/owner/plan.go
+++ b/rockbarrow/owner/plan.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// copies is how many members should hold a run's history.
-	copies = 3
-	// maxMembers bounds the set while a member is being replaced.
+	// targetCopies is the number of members that should store payloads.
+	targetCopies = 3
+	// maxMembers is the maximum number of members while one is being replaced.
 	maxMembers = 5
 )
 
@@ -22,11 +22,11 @@
 func InitialMembers(v *roster.View, run, domain string) journal.Members {
 	home := v.Ranked(run, domain, true)
 	var out journal.Members
-	for _, i := range home[:min(copies, len(home))] {
+	for _, i := range home[:min(targetCopies, len(home))] {
 		out = append(out, i.Member())
 	}
 	out = withDisk(out, home)
-	if len(out) < copies {
+	if len(out) < targetCopies {
 		if far := v.Ranked(run, domain, false); len(far) > 0 {
 			out = append(out, witness(far[0]))
 		}
@@ -34,8 +34,8 @@
 	return out
 }
 
-// withDisk gives the last seat to the first instance with a disk if no member
-// has one.
+// withDisk replaces the last member by the first instance with a disk if no
+// member has one.
 func withDisk(out journal.Members, home []roster.Instance) journal.Members {
 	for _, m := range out {
 		if m.Disk() {
@@ -51,31 +51,33 @@
 	return out
 }
 
-// witness returns the instance as a holder of digests in memory; a witness
-// never uses a disk, so its life is the process's.
+// witness returns the instance as a witness. A witness stores digests in memory
+// only, so it has the incarnation of the process.
 func witness(i roster.Instance) journal.Member {
 	return journal.NewMember(i.Instance(), i.Beat().Incarnation()).WithWitness()
 }
 
-// census sorts the members of a journal by what the view says of them.
-type census struct {
+// memberStatus groups the members of a journal, and the instances that could
+// become members, by their state in a view.
+type memberStatus struct {
 	live, dead journal.Members
-	// copies counts live members that hold history, and present also those that
-	// are about to leave.
+	// copies counts the live members that store payloads. present counts the
+	// leaving ones too.
 	copies, present int
 	disk            bool
 	witnesses       journal.Members
 	spareCopies     []roster.Instance
-	spareWitness    []roster.Instance
+	spareWitnesses  []roster.Instance
 }
 
-func count(members journal.Members, v *roster.View, run, domain string, silent func(journal.Member) bool) census {
-	var c census
+// assessMembers returns the status of members under a view.
+func assessMembers(members journal.Members, v *roster.View, run, domain string, nonVoting func(journal.Member) bool) memberStatus {
+	var c memberStatus
 	for _, m := range members {
-		if !m.Witness() && v.Holds(m) && !silent(m) {
+		if !m.Witness() && v.Holds(m) && !nonVoting(m) {
 			c.present++
 		}
-		if !holds(v, m) || silent(m) {
+		if !available(v, m) || nonVoting(m) {
 			c.dead = append(c.dead, m)
 			continue
 		}
@@ -87,14 +89,14 @@
 		c.copies++
 		c.disk = c.disk || m.Disk()
 	}
-	c.spareCopies = spares(v.Ranked(run, domain, true), members)
-	c.spareWitness = spares(v.Ranked(run, domain, false), members)
+	c.spareCopies = spareInstances(v.Ranked(run, domain, true), members)
+	c.spareWitnesses = spareInstances(v.Ranked(run, domain, false), members)
 	return c
 }
 
-// holds reports whether a member's life goes on and does not leave; a witness
-// lives as long as its process.
-func holds(v *roster.View, m journal.Member) bool {
+// available reports whether a member has kept its state and is not leaving. A
+// witness loses its state when its process restarts.
+func available(v *roster.View, m journal.Member) bool {
 	i, ok := v.Find(m.Instance())
 	if !ok || i.State() == roster.Leaving {
 		return false
@@ -108,45 +110,45 @@
 	return i.State() == roster.Unheard || i.Beat().Incarnation() == m.Incarnation()
 }
 
-// spares returns the usable instances without a seat.
-func spares(ranked []roster.Instance, members journal.Members) []roster.Instance {
+// spareInstances returns the usable instances that are not members.
+func spareInstances(ranked []roster.Instance, members journal.Members) []roster.Instance {
 	var out []roster.Instance
 	for _, i := range ranked {
-		if i.Usable() && i.Member().Incarnation() != 0 && !seated(members, i) {
+		if i.Usable() && i.Member().Incarnation() != 0 && !isMember(members, i) {
 			out = append(out, i)
 		}
 	}
 	return out
 }
 
-func seated(members journal.Members, i roster.Instance) bool {
+func isMember(members journal.Members, i roster.Instance) bool {
 	return members.Contains(i.Member()) || members.Contains(witness(i))
 }
 
-// plan returns the next change of the members, or nil when they are as they
-// should be. A lost member is replaced before it is dismissed. A member that
-// lives but never votes again, as its disk failed, is silent and counts as lost.
-func plan(members journal.Members, v *roster.View, run, domain string, self journal.Member, silent func(journal.Member) bool) journal.Event {
-	c := count(members, v, run, domain, silent)
-	// An owner that leaves keeps its seat and hands its copies on.
+// nextChange returns the next change of the set of members, or nil if none is
+// needed. A lost member is replaced before it is removed. A member that no longer
+// votes, for example after a disk failure, counts as lost.
+func nextChange(members journal.Members, v *roster.View, run, domain string, self journal.Member, nonVoting func(journal.Member) bool) journal.Event {
+	c := assessMembers(members, v, run, domain, nonVoting)
+	// A leaving owner stays a member while it replicates its journal.
 	c.dead = c.dead.Without(self)
-	// Nothing else commits while the only disk of the set is lost.
-	if m, ok := c.lostDisk(v, silent); ok && !c.disk && c.present >= 2 {
+	// No other change commits while the only disk of the set is lost.
+	if m, ok := c.lostDisk(v, nonVoting); ok && !c.disk && c.present >= 2 {
 		return journal.RemoveMember{Member: m}
 	}
 	if len(members) < maxMembers {
-		if e := admit(c); e != nil {
+		if e := memberToAdd(c); e != nil {
 			return e
 		}
 	}
-	if len(c.dead) > 0 && c.enough() {
+	if len(c.dead) > 0 && c.canCommit() {
 		return journal.RemoveMember{Member: c.dead[0]}
 	}
-	if len(c.dead) == 0 && len(c.witnesses) > 0 && c.copies >= copies {
+	if len(c.dead) == 0 && len(c.witnesses) > 0 && c.copies >= targetCopies {
 		return journal.RemoveMember{Member: c.witnesses[0]}
 	}
-	if len(c.dead) == 0 && c.copies > copies {
-		return surplus(c, self)
+	if len(c.dead) == 0 && c.copies > targetCopies {
+		return removeSurplus(c, self)
 	}
 	return nil
 }
@@ -157,26 +159,28 @@
 // two instances, the loss of the witness and of one instance leaves a single
 // vote.
 func AtRisk(members journal.Members, v *roster.View, run, domain string) bool {
-	c := count(members, v, run, domain, never)
+	c := assessMembers(members, v, run, domain, assumeVoting)
 	if c.copies < 2 && len(c.spareCopies) > 0 {
 		return true
 	}
-	return len(c.live) < members.Majority() && len(c.spareCopies)+len(c.spareWitness) > 0
+	return len(c.live) < members.Majority() && len(c.spareCopies)+len(c.spareWitnesses) > 0
 }
 
 // NeedsRepair reports whether an owner would change the members.
 func NeedsRepair(members journal.Members, v *roster.View, run, domain string, self journal.Member) bool {
-	return plan(members, v, run, domain, self, never) != nil
+	return nextChange(members, v, run, domain, self, assumeVoting) != nil
 }
 
-func never(journal.Member) bool { return false }
+// assumeVoting is used where no replies of the members are known.
+func assumeVoting(journal.Member) bool { return false }
 
-// blocked reports whether the only disk of a set is lost, so that no entry but a
-// new writer's first commits: a change of the set under way cannot end then.
-func blocked(members journal.Members, v *roster.View, silent func(journal.Member) bool) bool {
+// lostAllDisks reports whether all disks of a set are lost while two copies are
+// left. Only the opening entry of a new writer commits then, and a change of the
+// set in progress cannot complete.
+func lostAllDisks(members journal.Members, v *roster.View, nonVoting func(journal.Member) bool) bool {
 	disks, lost, present := 0, 0, 0
 	for _, m := range members {
-		gone := !v.Holds(m) || silent(m)
+		gone := !v.Holds(m) || nonVoting(m)
 		if m.Disk() {
 			disks++
 			if gone {
@@ -190,7 +194,8 @@
 	return disks > 0 && lost == disks && present >= 2
 }
 
-func admit(c census) journal.Event {
+// memberToAdd returns the addition of a missing disk, copy or witness, or nil.
+func memberToAdd(c memberStatus) journal.Event {
 	if !c.disk {
 		for _, i := range c.spareCopies {
 			if i.Disk() {
@@ -198,31 +203,33 @@
 			}
 		}
 	}
-	if c.copies < copies && len(c.spareCopies) > 0 {
+	if c.copies < targetCopies && len(c.spareCopies) > 0 {
 		return journal.AddMember{Member: c.spareCopies[0].Member()}
 	}
-	if len(c.live) < copies && len(c.witnesses) == 0 && len(c.spareWitness) > 0 {
-		return journal.AddMember{Member: witness(c.spareWitness[0])}
+	if len(c.live) < targetCopies && len(c.witnesses) == 0 && len(c.spareWitnesses) > 0 {
+		return journal.AddMember{Member: witness(c.spareWitnesses[0])}
 	}
 	return nil
 }
 
-// enough reports whether the live members alone can make commits durable.
-func (c census) enough() bool {
+// canCommit reports whether the live members alone can commit entries.
+func (c memberStatus) canCommit() bool {
 	return len(c.live) >= 2 && (c.copies >= 2 || c.disk)
 }
 
-func (c census) lostDisk(v *roster.View, silent func(journal.Member) bool) (journal.Member, bool) {
+// lostDisk returns a member with a disk that is lost, if there is one.
+func (c memberStatus) lostDisk(v *roster.View, nonVoting func(journal.Member) bool) (journal.Member, bool) {
 	for _, m := range c.dead {
-		if m.Disk() && (!v.Holds(m) || silent(m)) {
+		if m.Disk() && (!v.Holds(m) || nonVoting(m)) {
 			return m, true
 		}
 	}
 	return journal.Member{}, false
 }
 
-// surplus dismisses the last copy that is neither the owner nor the only disk.
-func surplus(c census, self journal.Member) journal.Event {
+// removeSurplus removes the last copy that is neither the owner nor the only
+// disk.
+func removeSurplus(c memberStatus, self journal.Member) journal.Event {
 	disks := 0
 	for _, m := range c.live {
 		if m.Disk() {
@@ -239,8 +246,8 @@
 	return nil
 }
 
-// Successor returns the member that should own a journal under a view: the
-// first that lives and holds history. A leaving instance comes after all others.
+// Successor returns the member that should own a journal under a view: the first
+// available member that is not a witness. Leaving instances come last.
 func Successor(members journal.Members, v *roster.View) (journal.Member, bool) {
 	var second *journal.Member
 	for _, m := range members {
--- a/rockbarrow/owner/plan_test.go
+++ b/rockbarrow/owner/plan_test.go
@@ -11,24 +11,24 @@
 	"rockbarrow.dev/rockbarrow/roster"
 )
 
-// TestStopWaitsForAVoteInTheLostWitnessesPlace stops one instance of a domain of
-// two just after the run's witness has restarted.
-func TestStopWaitsForAVoteInTheLostWitnessesPlace(t *testing.T) {
+// TestRestartedWitnessIsAtRisk checks that a planned stop in a failure domain of
+// two instances waits while the run's witness has restarted.
+func TestRestartedWitnessIsAtRisk(t *testing.T) {
 	peers := []roster.Peer{
 		roster.NewPeer("n1", "north", "", false, false), roster.NewPeer("n2", "north", "", false, false),
 		roster.NewPeer("w1", "west", "", false, false),
 	}
 	table := &roster.Table{Self: peers[1], Peers: peers, Rand: rand.New(rand.NewPCG(1, 1))}
-	beat := func(instance string, life uint64, leaving bool) roster.Beat {
-		return roster.NewBeat(instance, life, 0).With(leaving, true, 1, 0, 0).At(1)
+	beat := func(instance string, incarnation uint64, leaving bool) roster.Beat {
+		return roster.NewBeat(instance, incarnation, 0).With(leaving, true, 1, 0, 0).At(1)
 	}
 	table.Handle(time.Unix(1000, 0), roster.Heard{Beats: []roster.Beat{beat("n1", 1, true), beat("n2", 1, false), beat("w1", 2, false)}})
 	lost := journal.Members{journal.NewMember("n1", 1), journal.NewMember("n2", 1), journal.NewMember("w1", 1).WithWitness()}
 	if !AtRisk(lost, table.View(), "north.r", "north") {
-		t.Fatal("the stop would leave one vote of three")
+		t.Fatal("not at risk although the stop would leave one vote of three")
 	}
 	whole := journal.Members{lost[0], lost[1], journal.NewMember("w1", 2).WithWitness()}
 	if AtRisk(whole, table.View(), "north.r", "north") {
-		t.Fatal("the stop waits although two votes of three stay")
+		t.Fatal("at risk although two votes of three stay")
 	}
 }
--- a/rockbarrow/owner/records_test.go
+++ b/rockbarrow/owner/records_test.go
@@ -11,8 +11,7 @@
 	"rockbarrow.dev/schema/recordpb"
 )
 
-// FuzzRecords folds any bytes that a journal could hold, and holds the books
-// against the budget.
+// FuzzRecords checks that no payload makes the state exceed its budget.
 func FuzzRecords(f *testing.F) {
 	raw, err := proto.Marshal(&recordpb.Batch{Records: []*recordpb.Record{
 		{Body: &recordpb.Record_Created{Created: &recordpb.Created{Run: "d.r", BudgetTokens: 100}}},
@@ -35,7 +34,7 @@
 			}
 			in := r.GetIntent()
 			if in != nil && (s.Spent()+s.Reserved() > s.Created().GetBudgetTokens() || in.GetReserveTokens() > s.Created().GetBudgetTokens()) {
-				t.Fatalf("an intent was folded that the budget does not cover (open before: %v)", open)
+				t.Fatalf("an intent was applied that the budget does not cover (open before: %v)", open)
 			}
 		}
 	})
