--- a/rockbarrow/matrix/client_test.go
+++ b/rockbarrow/matrix/client_test.go
@@ -14,66 +14,68 @@
 )
 
 const (
-	// calls is how many calls the program makes; unrepeatable is one of them.
-	calls        = 4
-	unrepeatable = 3
-	patience     = 8 * time.Second
-	budget       = 4000
-	maxAnswer    = 50
+	// calls is how many calls the program makes. unrepeatable is the sequence of the
+	// one that must not be repeated.
+	calls          = 4
+	unrepeatable   = 3
+	requestTimeout = 8 * time.Second
+	budget         = 4000
+	maxAnswer      = 50
 )
 
-// client makes the program's calls, one after the other, and resends.
+// client makes the program's calls one after the other and resends requests that
+// are not answered.
 type client struct {
-	world *world
-	// created and ended are true once the owner has said so.
+	driver *driver
+	// created and ended are true once the owner has confirmed it.
 	created, ended bool
 	sequence       uint64
-	try            int
-	ids            program.CallID
-	// waiting is the request under way; 0 when none is.
+	attempt        int
+	lastID         program.CallID
+	// waiting is the request in progress, or 0.
 	waiting program.CallID
-	since   time.Time
-	// at is the node to ask next.
-	at string
-	// history is what the client knows to be answered.
+	sentAt  time.Time
+	// nextNode is the node for the next request, or "" for any.
+	nextNode string
+	// history contains the calls and the answers that the client has received.
 	history []*recordpb.Message
 	done    bool
-	// settled counts outcomes by kind.
-	settled map[string]int
+	// outcomes counts the outcomes of requests by kind.
+	outcomes map[string]int
 }
 
-func newClient(w *world) *client {
-	return &client{world: w, sequence: 1, settled: map[string]int{}}
+func newClient(d *driver) *client {
+	return &client{driver: d, sequence: 1, outcomes: map[string]int{}}
 }
 
-func (c *client) requestID() string { return fmt.Sprintf("r%d.%d", c.sequence, c.try) }
+func (c *client) requestID() string { return fmt.Sprintf("r%d.%d", c.sequence, c.attempt) }
 
 func (c *client) tick() {
 	if c.done {
 		return
 	}
-	if c.waiting != 0 && c.world.now.Sub(c.since) < patience {
+	if c.waiting != 0 && c.driver.now.Sub(c.sentAt) < requestTimeout {
 		return
 	}
-	c.ask()
+	c.sendRequest()
 }
 
-// ask sends the request that is next, to the named node or any.
-func (c *client) ask() {
-	w := c.world
-	n := w.find(c.at)
+// sendRequest sends the next request to nextNode or to a random node.
+func (c *client) sendRequest() {
+	d := c.driver
+	n := d.findNode(c.nextNode)
 	if n == nil || !n.up {
-		n = w.nodes[w.rand.IntN(4)]
+		n = d.nodes[d.rand.IntN(4)]
 	}
-	c.at = ""
-	c.ids++
-	id := c.ids
+	c.nextNode = ""
+	c.lastID++
+	id := c.lastID
 	c.waiting = id
-	c.since = w.now
-	w.post(letter{from: "client", to: n.name(), act: func() { w.serve(n, id, c.event(id)) }})
+	c.sentAt = d.now
+	d.enqueue(envelope{from: "client", to: n.name(), deliver: func() { d.handleRequest(n, id, c.nextEvent(id)) }})
 }
 
-func (c *client) event(id program.CallID) program.Event {
+func (c *client) nextEvent(id program.CallID) program.Event {
 	switch {
 	case !c.created:
 		return program.CreateRequested{ID: id, Created: &recordpb.Created{
@@ -92,10 +94,10 @@
 
 func (c *client) message() string { return fmt.Sprintf("call %d", c.sequence) }
 
-// serve takes a request at a node, as the host does.
-func (w *world) serve(n *node, id program.CallID, e program.Event) {
-	w.reach(stepReceived)
-	if n.owner == nil && !w.seize(n, e) {
+// handleRequest handles a request at a node, as the host does.
+func (d *driver) handleRequest(n *node, id program.CallID, e program.Event) {
+	d.reachStep(stepReceived)
+	if n.owner == nil && !d.startOwnerFor(n, e) {
 		to := ""
 		if n.replica != nil && n.replica.Log().LastIndex() > 0 {
 			v := n.table.View()
@@ -104,56 +106,56 @@
 				to = m.Instance()
 			}
 		}
-		w.tell(n, program.Reply{ID: id, Event: &peerpb.DoEvent{Body: &peerpb.DoEvent_Redirect{Redirect: &peerpb.Redirect{Instance: to}}}, Done: true})
+		d.sendReply(n, program.Reply{ID: id, Event: &peerpb.DoEvent{Body: &peerpb.DoEvent_Redirect{Redirect: &peerpb.Redirect{Instance: to}}}, Done: true})
 		return
 	}
-	w.step(n, owner.ProgramEvent{Event: e})
+	d.step(n, owner.ProgramEvent{Event: e})
 }
 
-func (w *world) seize(n *node, e program.Event) bool {
+func (d *driver) startOwnerFor(n *node, e program.Event) bool {
 	v := n.table.View()
 	if n.replica == nil || n.replica.Log().LastIndex() == 0 {
 		_, create := e.(program.CreateRequested)
 		members := owner.InitialMembers(v, runID, "home")
-		return create && members.Contains(n.self()) && w.claim(n, true)
+		return create && members.Contains(n.self()) && d.startOwner(n, true)
 	}
 	b := n.replica.Promised()
-	if b.Instance() == n.name() && b.Incarnation() == n.life {
-		return w.claim(n, false)
+	if b.Instance() == n.name() && b.Incarnation() == n.incarnation {
+		return d.startOwner(n, false)
 	}
 	if v.Writes(b) {
 		return false
 	}
 	m, ok := owner.Successor(n.replica.Log().Members(), v)
-	return ok && m.Is(n.self()) && w.claim(n, false)
+	return ok && m.Is(n.self()) && d.startOwner(n, false)
 }
 
-// tell carries an event to the client.
-func (w *world) tell(n *node, a program.Reply) {
+// sendReply sends an event to the client.
+func (d *driver) sendReply(n *node, a program.Reply) {
 	if a.Event.GetFinal() != nil {
-		w.reach(stepCommitted)
+		d.reachStep(stepCommitted)
 	}
-	w.post(letter{from: n.name(), to: "client", act: func() { w.client.heard(a) }})
+	d.enqueue(envelope{from: n.name(), to: "client", deliver: func() { d.client.replyReceived(a) }})
 }
 
-func (c *client) heard(a program.Reply) {
+func (c *client) replyReceived(a program.Reply) {
 	if a.ID != c.waiting || !a.Done {
 		return
 	}
 	c.waiting = 0
 	switch b := a.Event.GetBody().(type) {
 	case *peerpb.DoEvent_Redirect:
-		c.at = b.Redirect.GetInstance()
+		c.nextNode = b.Redirect.GetInstance()
 	case *peerpb.DoEvent_View:
-		c.viewed(b.View)
+		c.viewReceived(b.View)
 	case *peerpb.DoEvent_Final:
-		c.answered(b.Final.GetAnswered())
+		c.answerReceived(b.Final.GetAnswered())
 	case *peerpb.DoEvent_Problem:
-		c.refused(b.Problem)
+		c.problemReceived(b.Problem)
 	}
 }
 
-func (c *client) viewed(v *peerpb.RunView) {
+func (c *client) viewReceived(v *peerpb.RunView) {
 	if !c.created {
 		c.created = true
 		return
@@ -164,44 +166,45 @@
 	}
 }
 
-// answered checks the answer and goes on.
-func (c *client) answered(a *recordpb.Answered) {
+// answerReceived checks an answer and starts the next call.
+func (c *client) answerReceived(a *recordpb.Answered) {
 	if a.GetSequence() != c.sequence {
-		c.world.fail("whole answers: the answer of call %d came for call %d", a.GetSequence(), c.sequence)
+		c.driver.report("whole answers: received the answer of call %d for call %d", a.GetSequence(), c.sequence)
 	}
 	c.history = append(c.history, &recordpb.Message{Role: "user", Content: c.message()})
-	want := fmt.Sprintf("%016x/%d", boundary(c.history), a.GetAttempt())
+	want := fmt.Sprintf("%016x/%d", historyKey(c.history), a.GetAttempt())
 	if a.GetContent() != want {
-		c.world.fail("history: call %d was answered %q, want %q", c.sequence, a.GetContent(), want)
+		c.driver.report("history: call %d was answered %q, want %q", c.sequence, a.GetContent(), want)
 	}
 	c.history = append(c.history, &recordpb.Message{Role: "assistant", Content: a.GetContent()})
-	c.world.truth.told = append(c.world.truth.told, a)
-	c.settled["answered"]++
+	c.driver.oracle.answers = append(c.driver.oracle.answers, a)
+	c.outcomes["answered"]++
 	c.nextCall()
 }
 
 func (c *client) nextCall() {
 	c.sequence++
-	c.try = 0
-	c.world.reach(stepPause)
+	c.attempt = 0
+	c.driver.reachStep(stepPause)
 }
 
-// refused goes on after an unknown outcome, gives a refused id up half of the
-// time, and resends otherwise.
-func (c *client) refused(p *peerpb.Problem) {
-	w := c.world
-	c.settled[p.GetType()]++
+// problemReceived starts the next call after an unknown outcome. After a refusal
+// it makes the call under a new request id half of the time, and resends
+// otherwise.
+func (c *client) problemReceived(p *peerpb.Problem) {
+	d := c.driver
+	c.outcomes[p.GetType()]++
 	switch {
 	case p.GetType() == string(problem.OutcomeUnknown):
-		w.truth.unknown[c.requestID()] = true
+		d.oracle.unknown[c.requestID()] = true
 		c.history = append(c.history, &recordpb.Message{Role: "user", Content: c.message()})
 		c.nextCall()
 	case p.GetNotRun() && c.created && c.sequence <= calls:
-		w.truth.refuse(w, c.requestID())
-		if w.rand.IntN(2) == 0 {
-			c.try++
+		d.oracle.recordRefusal(d, c.requestID())
+		if d.rand.IntN(2) == 0 {
+			c.attempt++
 			return
 		}
-		w.truth.resent(c.requestID())
+		d.oracle.removeRefusal(c.requestID())
 	}
 }
--- a/rockbarrow/matrix/doc.go
+++ b/rockbarrow/matrix/doc.go
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: MIT
 
-// Package matrix holds the fault matrix: a seeded driver steps the cores of a
-// run (owners, replicas, rosters) with fakes at the ports, puts every fault at
-// every step of a call, and checks every promise after each event.
+// Package matrix contains the fault matrix. A deterministic driver steps the
+// state machines of a run (owners, replicas, rosters) with fake endpoints and a
+// fake client, injects every fault at every step of a call, and checks the
+// guarantees to callers after each event.
 //
-// The driver is no cluster simulator: it carries letters between cores and lets
-// time pass when none is on its way. docs/FAULTS.md shows the cells. A failing
-// cell prints its seed:
+// The driver delivers messages between the state machines and advances a virtual
+// clock. docs/FAULTS.md shows the cells. A failing cell prints its seed:
 //
 //	go test ./rockbarrow/matrix -run TestMatrix -matrix.seeds 200
 package matrix
--- a/rockbarrow/matrix/endpoint_test.go
+++ b/rockbarrow/matrix/endpoint_test.go
@@ -13,11 +13,11 @@
 	"rockbarrow.dev/schema/recordpb"
 )
 
-// answerTokens and promptTokens are the cost of one execution.
 const (
+	// promptTokens and answerTokens are the cost of one execution.
 	promptTokens = 10
 	answerTokens = 5
-	hangTime     = 20 * time.Second
+	hangTimeout  = 20 * time.Second
 )
 
 // endpoint is a fake engine.
@@ -26,20 +26,21 @@
 	up      bool
 	hanging bool
 	leaving bool
-	// mute loses answers after the call ran.
-	mute  bool
-	holds map[string]bool
-	// open are attempts that wait for a hanging endpoint.
-	open []openAttempt
+	// dropsAnswers is true if answers are lost after the call ran.
+	dropsAnswers bool
+	heldRuns     map[string]bool
+	// openAttempts are attempts that wait for a hanging endpoint.
+	openAttempts []openAttempt
 }
 
+// openAttempt is an attempt at a hanging endpoint, and how it fails.
 type openAttempt struct {
 	since time.Time
-	end   func()
+	fail  func()
 }
 
-func (w *world) endpoint(name string) *endpoint {
-	for _, e := range w.endpoints {
+func (d *driver) endpoint(name string) *endpoint {
+	for _, e := range d.endpoints {
 		if e.name == name {
 			return e
 		}
@@ -47,72 +48,72 @@
 	return nil
 }
 
-// place takes the first endpoint that is up, not leaving and not avoided.
-func (w *world) place(n *node, a program.Place) {
-	w.reach(stepQueued)
-	for _, e := range w.endpoints {
+// place chooses the first endpoint that is up, not leaving and not avoided.
+func (d *driver) place(n *node, a program.Place) {
+	d.reachStep(stepQueued)
+	for _, e := range d.endpoints {
 		avoided := false
 		for _, name := range a.Avoid {
 			avoided = avoided || name == e.name
 		}
 		if e.up && !e.leaving && !avoided {
-			w.local(n, program.Placed{Sequence: a.Sequence, Attempt: a.Attempt, Endpoint: e.name, Domain: "home", ConfigVersion: 1, Hold: true})
+			d.sendToOwner(n, program.Placed{Sequence: a.Sequence, Attempt: a.Attempt, Endpoint: e.name, Domain: "home", ConfigVersion: 1, Hold: true})
 			return
 		}
 	}
-	w.local(n, program.PlacementFailed{Sequence: a.Sequence, Attempt: a.Attempt, Problem: problem.Retry(problem.NoEndpoint, "none", time.Second)})
+	d.sendToOwner(n, program.PlacementFailed{Sequence: a.Sequence, Attempt: a.Attempt, Problem: problem.Retry(problem.NoEndpoint, "none", time.Second)})
 }
 
-// local hands an event to a node's own owner, in its present life.
-func (w *world) local(n *node, e program.Event) {
-	w.post(letter{from: n.name(), to: n.name(), act: func() { w.step(n, owner.ProgramEvent{Event: e}) }})
+// sendToOwner sends an event to the owner at a node, in its current incarnation.
+func (d *driver) sendToOwner(n *node, e program.Event) {
+	d.enqueue(envelope{from: n.name(), to: n.name(), deliver: func() { d.step(n, owner.ProgramEvent{Event: e}) }})
 }
 
-// dispatch sends an attempt; a process that was paused sends nothing.
-func (w *world) dispatch(n *node, a program.Dispatch) {
-	w.reach(stepIntended)
+// dispatch sends an attempt unless its intent is older than the lease.
+func (d *driver) dispatch(n *node, a program.Dispatch) {
+	d.reachStep(stepIntended)
 	in := a.Intent
 	failed := func(notRun bool, reason string) func() {
 		return func() {
-			w.step(n, owner.ProgramEvent{Event: program.AttemptFailed{Sequence: in.GetSequence(), Attempt: in.GetAttempt(), NotRun: notRun, Reason: reason}})
+			d.step(n, owner.ProgramEvent{Event: program.AttemptFailed{Sequence: in.GetSequence(), Attempt: in.GetAttempt(), NotRun: notRun, Reason: reason}})
 		}
 	}
-	w.post(letter{from: n.name(), to: n.name(), act: func() {
-		if !w.now.Before(a.ProposedAt.Add(lease)) {
+	d.enqueue(envelope{from: n.name(), to: n.name(), deliver: func() {
+		if !d.now.Before(a.ProposedAt.Add(lease)) {
 			failed(true, "the intent is older than the lease")()
 			return
 		}
-		e := w.endpoint(in.GetEndpoint())
-		w.reach(stepSent)
-		w.post(letter{from: n.name(), to: e.name, act: func() { w.execute(n, e, a, failed) }, sure: true})
+		e := d.endpoint(in.GetEndpoint())
+		d.reachStep(stepSent)
+		d.enqueue(envelope{from: n.name(), to: e.name, deliver: func() { d.execute(n, e, a, failed) }, reliable: true})
 	}})
 }
 
-// execute runs an attempt at an endpoint, which counts it.
-func (w *world) execute(n *node, e *endpoint, a program.Dispatch, failed func(bool, string) func()) {
-	life := n.life
+// execute runs an attempt at an endpoint and records the execution.
+func (d *driver) execute(n *node, e *endpoint, a program.Dispatch, failed func(bool, string) func()) {
+	incarnation := n.incarnation
 	back := func(act func()) {
-		w.post(letter{from: e.name, to: n.name(), life: life, act: act, sure: true})
+		d.enqueue(envelope{from: e.name, to: n.name(), incarnation: incarnation, deliver: act, reliable: true})
 	}
 	if !e.up {
 		back(failed(true, "connection refused"))
 		return
 	}
 	in := a.Intent
-	w.truth.ran(w, in, a.History)
+	d.oracle.recordExecution(d, in, a.History)
 	if in.GetHold() {
-		e.holds[runID] = true
+		e.heldRuns[runID] = true
 	}
 	if e.hanging {
-		e.open = append(e.open, openAttempt{since: w.now, end: failed(false, "no token for too long")})
+		e.openAttempts = append(e.openAttempts, openAttempt{since: d.now, fail: failed(false, "no token for too long")})
 		return
 	}
-	content := fmt.Sprintf("%016x/%d", boundary(a.History), in.GetAttempt())
+	content := fmt.Sprintf("%016x/%d", historyKey(a.History), in.GetAttempt())
 	back(func() {
-		w.reach(stepStreaming)
-		w.step(n, owner.ProgramEvent{Event: program.ChunkReceived{Sequence: in.GetSequence(), Attempt: in.GetAttempt(), Content: content[:8]}})
+		d.reachStep(stepStreaming)
+		d.step(n, owner.ProgramEvent{Event: program.ChunkReceived{Sequence: in.GetSequence(), Attempt: in.GetAttempt(), Content: content[:8]}})
 	})
-	if e.mute || !e.up {
+	if e.dropsAnswers || !e.up {
 		back(failed(false, "the answer was lost"))
 		return
 	}
@@ -121,44 +122,44 @@
 			failed(false, "the endpoint died")()
 			return
 		}
-		w.reach(stepAnswered)
-		w.step(n, owner.ProgramEvent{Event: program.AttemptFinished{Sequence: in.GetSequence(), Attempt: in.GetAttempt(), Answered: &recordpb.Answered{
+		d.reachStep(stepAnswered)
+		d.step(n, owner.ProgramEvent{Event: program.AttemptFinished{Sequence: in.GetSequence(), Attempt: in.GetAttempt(), Answered: &recordpb.Answered{
 			Sequence: in.GetSequence(), Attempt: in.GetAttempt(), Content: content,
 			PromptTokens: promptTokens, AnswerTokens: answerTokens, Endpoint: e.name, FinishReason: "stop",
 		}}})
 	})
 }
 
-// expireAttempts ends attempts at endpoints that hang or have died.
-func (w *world) expireAttempts() {
-	for _, e := range w.endpoints {
-		kept := e.open[:0:0]
-		for _, o := range e.open {
-			if e.up && w.now.Sub(o.since) < hangTime {
+// expireAttempts fails attempts at endpoints that hang or have crashed.
+func (d *driver) expireAttempts() {
+	for _, e := range d.endpoints {
+		kept := e.openAttempts[:0:0]
+		for _, o := range e.openAttempts {
+			if e.up && d.now.Sub(o.since) < hangTimeout {
 				kept = append(kept, o)
 				continue
 			}
-			o.end()
+			o.fail()
 		}
-		e.open = kept
+		e.openAttempts = kept
 	}
 }
 
-func (w *world) release(n *node, name string) {
-	e := w.endpoint(name)
-	w.post(letter{from: n.name(), to: e.name, act: func() {
+func (d *driver) release(n *node, name string) {
+	e := d.endpoint(name)
+	d.enqueue(envelope{from: n.name(), to: e.name, deliver: func() {
 		if !e.up {
 			return
 		}
-		delete(e.holds, runID)
-		w.post(letter{from: e.name, to: n.name(), life: n.life, act: func() {
-			w.step(n, owner.ProgramEvent{Event: program.MemoryReleased{Endpoint: name}})
+		delete(e.heldRuns, runID)
+		d.enqueue(envelope{from: e.name, to: n.name(), incarnation: n.incarnation, deliver: func() {
+			d.step(n, owner.ProgramEvent{Event: program.MemoryReleased{Endpoint: name}})
 		}})
 	}})
 }
 
-// boundary names a history.
-func boundary(history []*recordpb.Message) uint64 {
+// historyKey returns a key that identifies a history.
+func historyKey(history []*recordpb.Message) uint64 {
 	b := placement.Boundaries(history)
 	if len(b) == 0 {
 		return 0
--- a/rockbarrow/matrix/matrix_test.go
+++ b/rockbarrow/matrix/matrix_test.go
@@ -17,7 +17,7 @@
 
 var seeds = flag.Int("matrix.seeds", 4, "how many seeds each cell of the fault matrix runs")
 
-// step is where a call stands when a fault comes.
+// step is the progress of a call at which a fault is injected.
 type step string
 
 // The steps of a call.
@@ -40,54 +40,63 @@
 	stepAnswered, stepCommitted, stepPause, stepDraining, stepRoster,
 }
 
-// fault is what goes wrong.
+// fault is a failure that can be injected.
 type fault struct {
 	name   string
-	inject func(*world)
+	inject func(*driver)
 }
 
-// faults are all that the matrix puts at each step.
+// faults are the faults that the matrix injects at each step.
 var faults = []fault{
-	{"owner dies", func(w *world) { w.kill(w.ownerNode(), 8*time.Second) }},
-	{"owner pauses and wakes", func(w *world) { w.pause(w.ownerNode(), 12*time.Second) }},
-	{"owner pauses for minutes", func(w *world) { w.pause(w.ownerNode(), 5*time.Minute) }},
-	{"replica dies", func(w *world) { w.kill(w.replicaNode(), 8*time.Second) }},
-	{"disk's instance dies", func(w *world) { w.kill(w.find("a"), 8*time.Second) }},
-	{"sync fails", func(w *world) { w.syncFails = "a"; w.later(time.Second, func() { w.kill(w.find("a"), time.Hour) }) }},
-	{"owner cut off", func(w *world) { w.cutOff(w.ownerNode(), 10*time.Second) }},
-	{"one-way loss", func(w *world) { w.oneWay(w.ownerNode(), 10*time.Second) }},
-	{"messages late and reordered", func(w *world) { w.window = 6; w.later(20*time.Second, func() { w.window = 1 }) }},
-	{"messages doubled", func(w *world) { w.double = 30; w.later(20*time.Second, func() { w.double = 0 }) }},
-	{"messages lost", func(w *world) { w.lose = 25; w.later(15*time.Second, func() { w.lose = 0 }) }},
-	{"answers lost", func(w *world) {
-		w.eachEndpoint(func(e *endpoint) { e.mute = true }, func(e *endpoint) { e.mute = false })
+	{"owner dies", func(d *driver) { d.kill(d.ownerNode(), 8*time.Second) }},
+	{"owner pauses and wakes", func(d *driver) { d.pause(d.ownerNode(), 12*time.Second) }},
+	{"owner pauses for minutes", func(d *driver) { d.pause(d.ownerNode(), 5*time.Minute) }},
+	{"replica dies", func(d *driver) { d.kill(d.replicaNode(), 8*time.Second) }},
+	{"disk's instance dies", func(d *driver) { d.kill(d.findNode("a"), 8*time.Second) }},
+	{"sync fails", func(d *driver) {
+		d.failingDisk = "a"
+		d.schedule(time.Second, func() { d.kill(d.findNode("a"), time.Hour) })
 	}},
-	{"endpoint dies", func(w *world) { w.endpoints[0].die(); w.later(10*time.Second, func() { w.endpoints[0].up = true }) }},
-	{"endpoint hangs", func(w *world) { w.endpoints[0].hanging = true }},
-	{"endpoint leaves", func(w *world) { w.endpoints[0].leaving = true }},
-	{"engine restarts", func(w *world) { w.endpoints[0].die(); w.endpoints[0].up = true }},
-	{"second loss after repair", func(w *world) {
-		first := w.replicaNode()
-		w.kill(first, time.Hour)
-		w.afterRepair(first, func() { w.kill(w.ownerNode(), time.Hour) })
+	{"owner cut off", func(d *driver) { d.cutOff(d.ownerNode(), 10*time.Second) }},
+	{"one-way loss", func(d *driver) { d.cutInbound(d.ownerNode(), 10*time.Second) }},
+	{"messages late and reordered", func(d *driver) { d.reorderWindow = 6; d.schedule(20*time.Second, func() { d.reorderWindow = 1 }) }},
+	{"messages doubled", func(d *driver) {
+		d.duplicatePercent = 30
+		d.schedule(20*time.Second, func() { d.duplicatePercent = 0 })
 	}},
-	{"owner and endpoint die", func(w *world) { w.kill(w.ownerNode(), 8*time.Second); w.endpoints[0].die() }},
-	{"clock jumps", func(w *world) { w.now = w.now.Add(time.Minute) }},
+	{"messages lost", func(d *driver) { d.lossPercent = 25; d.schedule(15*time.Second, func() { d.lossPercent = 0 }) }},
+	{"answers lost", func(d *driver) {
+		d.disturbEndpoints(func(e *endpoint) { e.dropsAnswers = true }, func(e *endpoint) { e.dropsAnswers = false })
+	}},
+	{"endpoint dies", func(d *driver) {
+		d.endpoints[0].crash()
+		d.schedule(10*time.Second, func() { d.endpoints[0].up = true })
+	}},
+	{"endpoint hangs", func(d *driver) { d.endpoints[0].hanging = true }},
+	{"endpoint leaves", func(d *driver) { d.endpoints[0].leaving = true }},
+	{"engine restarts", func(d *driver) { d.endpoints[0].crash(); d.endpoints[0].up = true }},
+	{"second loss after repair", func(d *driver) {
+		first := d.replicaNode()
+		d.kill(first, time.Hour)
+		d.afterRepair(first, func() { d.kill(d.ownerNode(), time.Hour) })
+	}},
+	{"owner and endpoint die", func(d *driver) { d.kill(d.ownerNode(), 8*time.Second); d.endpoints[0].crash() }},
+	{"clock jumps", func(d *driver) { d.now = d.now.Add(time.Minute) }},
 }
 
-// injection is one cell: a fault at a step, in the call of a sequence.
+// injection is a fault and the step at which it is injected.
 type injection struct {
 	step  step
 	fault fault
-	// skip is how often the step is passed before the fault comes.
+	// skip is how often the step is reached before the fault is injected.
 	skip int
 }
 
-// reach tells that a call has come to a step.
-func (w *world) reach(s step) {
-	w.hits[s]++
-	for i := range w.plan {
-		p := &w.plan[i]
+// reachStep injects the faults that are due when a call reaches a step.
+func (d *driver) reachStep(s step) {
+	d.stepCounts[s]++
+	for i := range d.injections {
+		p := &d.injections[i]
 		if p.fault.inject == nil || p.step != s {
 			continue
 		}
@@ -97,19 +106,20 @@
 		}
 		inject := p.fault.inject
 		p.fault.inject = nil
-		inject(w)
+		inject(d)
 	}
 }
 
-// notice finds steps in the messages of an owner.
-func (w *world) notice(n *node, a owner.Send) {
+// detectSteps derives the steps that have been reached from a message of an
+// owner.
+func (d *driver) detectSteps(n *node, a owner.Send) {
 	m, ok := a.Message.(journal.Append)
 	if !ok {
 		return
 	}
 	for _, e := range m.Entries {
 		if e.Members() != nil && e.Index() > 1 {
-			w.reach(stepRoster)
+			d.reachStep(stepRoster)
 		}
 		var b recordpb.Batch
 		if proto.Unmarshal(e.Payload(), &b) != nil {
@@ -117,142 +127,149 @@
 		}
 		for _, r := range b.GetRecords() {
 			if r.GetIntent() != nil && a.To.Is(n.self()) {
-				w.reach(stepProposed)
+				d.reachStep(stepProposed)
 			}
 		}
 	}
 }
 
-func (w *world) ownerNode() *node {
-	for _, n := range w.nodes {
+func (d *driver) ownerNode() *node {
+	for _, n := range d.nodes {
 		if n.up && n.owner != nil {
 			return n
 		}
 	}
-	return w.nodes[0]
+	return d.nodes[0]
 }
 
-func (w *world) replicaNode() *node {
-	o := w.ownerNode()
-	for _, n := range w.nodes[:4] {
+func (d *driver) replicaNode() *node {
+	o := d.ownerNode()
+	for _, n := range d.nodes[:4] {
 		if n != o && n.up && n.replica != nil && n.storage == 0 {
 			return n
 		}
 	}
-	return w.nodes[3]
+	return d.nodes[3]
 }
 
-func (w *world) later(d time.Duration, act func()) {
-	w.heals = append(w.heals, heal{at: w.now.Add(d), act: act})
-	for i := len(w.heals) - 1; i > 0 && w.heals[i].at.Before(w.heals[i-1].at); i-- {
-		w.heals[i], w.heals[i-1] = w.heals[i-1], w.heals[i]
+// schedule calls act after a time.
+func (d *driver) schedule(after time.Duration, act func()) {
+	d.recoveries = append(d.recoveries, recovery{at: d.now.Add(after), act: act})
+	for i := len(d.recoveries) - 1; i > 0 && d.recoveries[i].at.Before(d.recoveries[i-1].at); i-- {
+		d.recoveries[i], d.recoveries[i-1] = d.recoveries[i-1], d.recoveries[i]
 	}
 }
 
-func (w *world) kill(n *node, d time.Duration) {
+func (d *driver) kill(n *node, after time.Duration) {
 	n.up = false
 	n.owner = nil
-	w.later(d, func() { w.boot(n, w.peers(), 0) })
+	d.schedule(after, func() { d.restart(n, d.peers(), 0) })
 }
 
-func (w *world) pause(n *node, d time.Duration) {
+func (d *driver) pause(n *node, after time.Duration) {
 	n.paused = true
-	w.later(d, func() {
+	d.schedule(after, func() {
 		n.paused = false
-		w.letters = append(w.letters, n.held...)
-		n.held = nil
+		d.inFlight = append(d.inFlight, n.pausedMessages...)
+		n.pausedMessages = nil
 	})
 }
 
-func (w *world) cutOff(n *node, d time.Duration) {
-	for _, o := range w.nodes {
-		w.cut[n.name()+">"+o.name()] = o != n
-		w.cut[o.name()+">"+n.name()] = o != n
+// cutOff drops all messages between a node and the other nodes.
+func (d *driver) cutOff(n *node, after time.Duration) {
+	for _, o := range d.nodes {
+		d.blockedLinks[n.name()+">"+o.name()] = o != n
+		d.blockedLinks[o.name()+">"+n.name()] = o != n
 	}
-	w.later(d, func() { clear(w.cut) })
+	d.schedule(after, func() { clear(d.blockedLinks) })
 }
 
-func (w *world) oneWay(n *node, d time.Duration) {
-	for _, o := range w.nodes {
-		w.cut[o.name()+">"+n.name()] = o != n
+// cutInbound drops all messages to a node.
+func (d *driver) cutInbound(n *node, after time.Duration) {
+	for _, o := range d.nodes {
+		d.blockedLinks[o.name()+">"+n.name()] = o != n
 	}
-	w.later(d, func() { clear(w.cut) })
+	d.schedule(after, func() { clear(d.blockedLinks) })
 }
 
-func (w *world) eachEndpoint(on, off func(*endpoint)) {
-	for _, e := range w.endpoints[:2] {
+// disturbEndpoints calls on for two of the endpoints, and off after ten seconds.
+func (d *driver) disturbEndpoints(on, off func(*endpoint)) {
+	for _, e := range d.endpoints[:2] {
 		on(e)
 	}
-	w.later(10*time.Second, func() {
-		for _, e := range w.endpoints[:2] {
+	d.schedule(10*time.Second, func() {
+		for _, e := range d.endpoints[:2] {
 			off(e)
 		}
 	})
 }
 
-// afterRepair acts once the owner's replicas are whole without the lost one.
-func (w *world) afterRepair(lost *node, act func()) {
-	w.later(time.Second, func() {
-		if n := w.ownerNode(); n.owner == nil || !n.owner.FullyReplicated() || n.owner.Members().Contains(lost.self()) {
-			w.afterRepair(lost, act)
+// afterRepair calls act once the journal is fully replicated without the lost
+// node.
+func (d *driver) afterRepair(lost *node, act func()) {
+	d.schedule(time.Second, func() {
+		if n := d.ownerNode(); n.owner == nil || !n.owner.FullyReplicated() || n.owner.Members().Contains(lost.self()) {
+			d.afterRepair(lost, act)
 			return
 		}
 		act()
 	})
 }
 
-func (e *endpoint) die() {
+func (e *endpoint) crash() {
 	e.up = false
-	e.holds = map[string]bool{}
+	e.heldRuns = map[string]bool{}
 }
 
-// run steps a world to its end.
-func (w *world) run() string {
+// run runs the driver until the program has ended and returns the violation, if
+// there is one.
+func (d *driver) run() string {
 	const longest = 1500
 	settle := 0
-	for n := 0; n < longest && w.broken == "" && settle < 40; n++ {
+	for n := 0; n < longest && d.violation == "" && settle < 40; n++ {
 		for range 400 {
-			if !w.deliver() || w.broken != "" {
+			if !d.deliver() || d.violation != "" {
 				break
 			}
 		}
 		if n == 6 {
-			w.drain()
+			d.drain()
 		}
-		w.tick()
-		if w.client.done && len(w.heals) == 0 {
+		d.tick()
+		if d.client.done && len(d.recoveries) == 0 {
 			settle++
 		}
 	}
-	if w.broken != "" {
-		return w.broken
+	if d.violation != "" {
+		return d.violation
 	}
-	return w.unfinished()
+	return d.checkCompleted()
 }
 
-// drain plans the stop of an instance that is not the owner, when no other is
-// down. As the daemon does, it ends only once the run has its copies elsewhere.
-func (w *world) drain() {
-	for _, n := range w.nodes {
+// drain starts the planned stop of an instance that is not the owner, unless an
+// instance is down. As in the daemon, the instance stops only once the run is
+// fully replicated without it.
+func (d *driver) drain() {
+	for _, n := range d.nodes {
 		if !n.up || n.paused {
 			return
 		}
 	}
-	n := w.replicaNode()
+	n := d.replicaNode()
 	n.leaving = true
-	w.reach(stepDraining)
-	w.later(10*time.Second, func() { w.endDrain(n) })
+	d.reachStep(stepDraining)
+	d.schedule(10*time.Second, func() { d.endDrain(n) })
 }
 
-func (w *world) endDrain(n *node) {
+func (d *driver) endDrain(n *node) {
 	if !n.up || !n.leaving {
 		return
 	}
-	if o := w.ownerNode(); o.owner == nil || !o.owner.FullyReplicated() || o.owner.Members().Contains(n.self()) {
-		w.later(time.Second, func() { w.endDrain(n) })
+	if o := d.ownerNode(); o.owner == nil || !o.owner.FullyReplicated() || o.owner.Members().Contains(n.self()) {
+		d.schedule(time.Second, func() { d.endDrain(n) })
 		return
 	}
-	w.boot(n, w.peers(), 0)
+	d.restart(n, d.peers(), 0)
 }
 
 func TestMatrix(t *testing.T) {
@@ -266,7 +283,7 @@
 	}
 }
 
-// testStep puts every fault at one step.
+// testStep injects every fault at one step.
 func testStep(t *testing.T, s step, disk bool) {
 	cells, reached := 0, 0
 	for _, f := range faults {
@@ -274,24 +291,23 @@
 			continue
 		}
 		for seed := range *seeds {
-			w := newWorld(uint64(seed), disk, injection{step: s, fault: f, skip: seed % 4})
+			d := newDriver(uint64(seed), disk, injection{step: s, fault: f, skip: seed % 4})
 			cells++
-			if msg := w.run(); msg != "" {
+			if msg := d.run(); msg != "" {
 				t.Errorf("%s / %s / disk %v / seed %d: %s", s, f.name, disk, seed, msg)
 				break
 			}
-			if w.plan[0].fault.inject == nil {
+			if d.injections[0].fault.inject == nil {
 				reached++
 			}
 		}
 	}
 	if reached < cells/4 {
-		t.Errorf("the fault came in %d of %d runs, want at least a quarter", reached, cells)
+		t.Errorf("the fault was injected in %d of %d runs, want at least a quarter", reached, cells)
 	}
 }
 
-// TestPairs puts two faults into one run: at every pair of steps, the pairs of
-// faults that the users name.
+// TestPairs injects pairs of faults into one run, at every pair of steps.
 func TestPairs(t *testing.T) {
 	pairs := [][2]string{
 		{"owner dies", "owner dies"},
@@ -314,29 +330,29 @@
 	for _, s1 := range steps {
 		for _, s2 := range steps {
 			seed := uint64(len(s1)*31 + len(s2))
-			w := newWorld(seed, true, injection{step: s1, fault: find(p[0])}, injection{step: s2, fault: find(p[1]), skip: 1})
-			msg := w.run()
-			if w.beyondRepair() {
-				// Two copies were lost before the first could be replaced. Nothing
-				// false may have been told, but the run cannot go on.
+			d := newDriver(seed, true, injection{step: s1, fault: findFault(p[0])}, injection{step: s2, fault: findFault(p[1]), skip: 1})
+			msg := d.run()
+			if d.beyondRepair() {
+				// Two copies were lost before the first was replaced. The run cannot
+				// continue, but no reply may have been wrong.
 				beyond++
-				msg = w.broken
+				msg = d.violation
 			}
 			if msg != "" {
 				t.Errorf("%s at %s, %s at %s, seed %d: %s", p[0], s1, p[1], s2, seed, msg)
 			}
 		}
 	}
-	t.Logf("%d of %d cells lost two copies before a repair", beyond, len(steps)*len(steps))
+	t.Logf("%d of %d cells lost two copies before the repair", beyond, len(steps)*len(steps))
 	if beyond > len(steps)*len(steps)/2 {
-		t.Errorf("%d cells cannot go on, want at most half", beyond)
+		t.Errorf("the run cannot continue in %d cells, want at most half", beyond)
 	}
 }
 
-// beyondRepair reports whether too few lives of the run's members are left.
-func (w *world) beyondRepair() bool {
+// beyondRepair reports whether the run has lost the majority of its members.
+func (d *driver) beyondRepair() bool {
 	var newest *node
-	for _, n := range w.nodes {
+	for _, n := range d.nodes {
 		if n.up && n.replica != nil && n.replica.Log().LastIndex() > 0 && (newest == nil || n.replica.Log().LastIndex() > newest.replica.Log().LastIndex()) {
 			newest = n
 		}
@@ -347,15 +363,15 @@
 	members := newest.replica.Log().Members()
 	left := 0
 	for _, m := range members {
-		n := w.find(m.Instance())
-		if n.up && n.replica != nil && (m.Is(n.self()) || m.Witness() && m.Incarnation() == n.life) {
+		n := d.findNode(m.Instance())
+		if n.up && n.replica != nil && (m.Is(n.self()) || m.Witness() && m.Incarnation() == n.incarnation) {
 			left++
 		}
 	}
 	return left < members.Majority()
 }
 
-func find(name string) fault {
+func findFault(name string) fault {
 	for _, f := range faults {
 		if f.name == name {
 			return f
