--- a/rockbarrow/journal/journal_test.go
+++ b/rockbarrow/journal/journal_test.go
@@ -236,10 +236,10 @@
 	// A rolling restart of a failure domain of two leaves a single copy.
 	delete(c.replicas, m1)
 	next := c.writer(m2, nil)
-	told := len(c.committedDigests)
+	committedBefore := len(c.committedDigests)
 	c.step(next, Campaign{})
 	c.deliverAll()
-	if !c.writers[next].Serves() || c.writers[next].delivered != 0 || len(c.committedDigests) != told {
+	if !c.writers[next].Serves() || c.writers[next].delivered != 0 || len(c.committedDigests) != committedBefore {
 		t.Fatalf("serves %v and delivered %d with a single copy, want true and 0", c.writers[next].Serves(), c.writers[next].delivered)
 	}
 	c.step(next, AddMember{Member: m4})
--- a/rockbarrow/journal/log.go
+++ b/rockbarrow/journal/log.go
@@ -69,22 +69,22 @@
 	h := sha256.New()
 	h.Write(prev[:])
 	var n [8]byte
-	put := func(v uint64) {
+	writeUint64 := func(v uint64) {
 		binary.BigEndian.PutUint64(n[:], v)
 		h.Write(n[:])
 	}
-	text := func(s string) {
-		put(uint64(len(s)))
+	writeString := func(s string) {
+		writeUint64(uint64(len(s)))
 		h.Write([]byte(s))
 	}
-	put(e.index)
-	put(e.ballot.round)
-	text(e.ballot.instance)
-	put(e.ballot.incarnation)
+	writeUint64(e.index)
+	writeUint64(e.ballot.round)
+	writeString(e.ballot.instance)
+	writeUint64(e.ballot.incarnation)
 	h.Write(e.payloadDigest[:])
-	put(uint64(len(e.members)))
+	writeUint64(uint64(len(e.members)))
 	for _, m := range e.members {
-		text(m.String())
+		writeString(m.String())
 	}
 	return Digest(h.Sum(nil))
 }
--- a/rockbarrow/matrix/oracle_test.go
+++ b/rockbarrow/matrix/oracle_test.go
@@ -90,13 +90,13 @@
 // received.
 func (d *driver) checkLoaded(n *node) {
 	s := n.owner.Machine.State()
-	for _, told := range d.oracle.answers {
-		at := int(told.GetSequence()) - 1
+	for _, answer := range d.oracle.answers {
+		at := int(answer.GetSequence()) - 1
 		if at >= len(s.Turns()) {
 			d.report("history: the owner %s has %d turns, the client has received turn %d", n.name(), len(s.Turns()), at+1)
 			return
 		}
-		if got := s.Turns()[at].Answer(); got.GetContent() != told.GetContent() {
+		if got := s.Turns()[at].Answer(); got.GetContent() != answer.GetContent() {
 			d.report("history: the owner %s has another answer at turn %d", n.name(), at+1)
 			return
 		}
--- a/rockbarrow/owner/owner.go
+++ b/rockbarrow/owner/owner.go
@@ -256,8 +256,8 @@
 func (o *Owner) perform(now time.Time, actions []program.Action) []Action {
 	var out []Action
 	for _, a := range actions {
-		if t, ok := a.(program.Reply); ok && !o.writer.Superseded() && needsConfirmation(t) {
-			out = append(out, o.confirm(now, t)...)
+		if r, ok := a.(program.Reply); ok && !o.writer.Superseded() && needsConfirmation(r) {
+			out = append(out, o.confirm(now, r)...)
 			continue
 		}
 		c, ok := a.(program.Commit)
@@ -277,14 +277,14 @@
 
 // needsConfirmation reports whether a reply could be wrong if another instance had
 // become the owner: a refusal that claims that a request did not run, or a view.
-func needsConfirmation(t program.Reply) bool {
-	return t.Event.GetProblem().GetNotRun() || t.Event.GetView() != nil
+func needsConfirmation(r program.Reply) bool {
+	return r.Event.GetProblem().GetNotRun() || r.Event.GetView() != nil
 }
 
 // confirm holds a reply back until a majority has confirmed the ownership.
-func (o *Owner) confirm(now time.Time, t program.Reply) []Action {
+func (o *Owner) confirm(now time.Time, r program.Reply) []Action {
 	out := o.stepWriter(now, journal.Confirm{})
-	o.unconfirmed = append(o.unconfirmed, unconfirmedReply{number: o.writer.LastConfirm(), reply: t})
+	o.unconfirmed = append(o.unconfirmed, unconfirmedReply{number: o.writer.LastConfirm(), reply: r})
 	return out
 }
 
--- a/rockbarrow/owner/owner_test.go
+++ b/rockbarrow/owner/owner_test.go
@@ -27,8 +27,8 @@
 				reply, _ := t.replicas[a.To].Handle(a.Message)
 				queue = append(queue, Replied{From: a.To, Reply: reply})
 			case ProgramAction:
-				if tell, ok := a.Action.(program.Reply); ok {
-					out[tell.ID] = tell.Event
+				if reply, ok := a.Action.(program.Reply); ok {
+					out[reply.ID] = reply.Event
 				}
 				queue = append(queue, t.performAction(a.Action)...)
 			}
--- a/rockbarrow/owner/plan.go
+++ b/rockbarrow/owner/plan.go
@@ -249,7 +249,7 @@
 // Successor returns the member that should own a journal under a view: the first
 // available member that is not a witness. Leaving instances come last.
 func Successor(members journal.Members, v *roster.View) (journal.Member, bool) {
-	var second *journal.Member
+	var leaving *journal.Member
 	for _, m := range members {
 		if m.Witness() || !v.Holds(m) {
 			continue
@@ -258,12 +258,12 @@
 		if i.Usable() {
 			return m, true
 		}
-		if second == nil {
-			second = &m
+		if leaving == nil {
+			leaving = &m
 		}
 	}
-	if second != nil {
-		return *second, true
+	if leaving != nil {
+		return *leaving, true
 	}
 	return journal.Member{}, false
 }
--- a/rockbarrow/owner/plan_test.go
+++ b/rockbarrow/owner/plan_test.go
@@ -27,8 +27,8 @@
 	if !AtRisk(lost, table.View(), "north.r", "north") {
 		t.Fatal("not at risk although the stop would leave one vote of three")
 	}
-	whole := journal.Members{lost[0], lost[1], journal.NewMember("w1", 2).WithWitness()}
-	if AtRisk(whole, table.View(), "north.r", "north") {
+	replaced := journal.Members{lost[0], lost[1], journal.NewMember("w1", 2).WithWitness()}
+	if AtRisk(replaced, table.View(), "north.r", "north") {
 		t.Fatal("at risk although two votes of three stay")
 	}
 }
--- a/rockbarrow/program/call.go
+++ b/rockbarrow/program/call.go
@@ -72,18 +72,18 @@
 // another request under the same id.
 func BodyDigest(t *peerpb.Turn) []byte {
 	h := sha256.New()
-	put := func(s string) {
+	writeString := func(s string) {
 		var n [8]byte
 		binary.BigEndian.PutUint64(n[:], uint64(len(s)))
 		h.Write(n[:])
 		h.Write([]byte(s))
 	}
 	for _, msg := range t.GetMessages() {
-		put(msg.GetRole())
-		put(msg.GetContent())
+		writeString(msg.GetRole())
+		writeString(msg.GetContent())
 	}
-	put(string(t.GetServiceBody()))
-	put(fmt.Sprint(t.GetMaxAnswerTokens(), t.GetRepeatable(), t.GetWholeHistory()))
+	writeString(string(t.GetServiceBody()))
+	writeString(fmt.Sprint(t.GetMaxAnswerTokens(), t.GetRepeatable(), t.GetWholeHistory()))
 	return h.Sum(nil)
 }
 
@@ -150,8 +150,8 @@
 	}
 	from := uint64(0)
 	restart := false
-	if at := e.Turn.GetResumeAttempt(); at != 0 {
-		if at == c.attempt && e.Turn.GetResumeOffset() <= uint64(len(c.partialAnswer)) {
+	if attempt := e.Turn.GetResumeAttempt(); attempt != 0 {
+		if attempt == c.attempt && e.Turn.GetResumeOffset() <= uint64(len(c.partialAnswer)) {
 			from = e.Turn.GetResumeOffset()
 		} else {
 			restart = true
@@ -213,17 +213,17 @@
 
 // newMessages returns the messages that follow the stored history, or false if
 // the messages do not extend it.
-func (m *Machine) newMessages(sent []*recordpb.Message) ([]*recordpb.Message, bool) {
+func (m *Machine) newMessages(messages []*recordpb.Message) ([]*recordpb.Message, bool) {
 	stored := m.state.History()
-	if len(sent) <= len(stored) {
+	if len(messages) <= len(stored) {
 		return nil, false
 	}
 	for i, s := range stored {
-		if s.GetRole() != sent[i].GetRole() || s.GetContent() != sent[i].GetContent() {
+		if s.GetRole() != messages[i].GetRole() || s.GetContent() != messages[i].GetContent() {
 			return nil, false
 		}
 	}
-	return sent[len(stored):], true
+	return messages[len(stored):], true
 }
 
 func (m *Machine) enqueue(now time.Time, c *call) []Action {
@@ -259,8 +259,8 @@
 		return problem.New(problem.CallsExhausted, fmt.Sprintf("the run may make %d calls", limit))
 	}
 	answer := created.GetMaxAnswerTokens()
-	if ask := c.turn.GetMaxAnswerTokens(); ask > 0 && (answer == 0 || ask < answer) {
-		answer = ask
+	if requested := c.turn.GetMaxAnswerTokens(); requested > 0 && (answer == 0 || requested < answer) {
+		answer = requested
 	}
 	c.turn = cloneTurn(c.turn)
 	c.turn.MaxAnswerTokens = answer
--- a/rockbarrow/program/ending.go
+++ b/rockbarrow/program/ending.go
@@ -24,9 +24,9 @@
 	case e.Tokens > s.Remaining():
 		return refuse(e.ID, problem.New(problem.BudgetExhausted, fmt.Sprintf("%d tokens are left, the child asks for %d", s.Remaining(), e.Tokens)))
 	}
-	again := slices.ContainsFunc(m.budgetRequests, func(a budgetRequest) bool { return a.allocate && a.child == e.Child })
+	duplicate := slices.ContainsFunc(m.budgetRequests, func(a budgetRequest) bool { return a.allocate && a.child == e.Child })
 	m.budgetRequests = append(m.budgetRequests, budgetRequest{id: e.ID, child: e.Child, allocate: true})
-	if again {
+	if duplicate {
 		return nil
 	}
 	record := &recordpb.Carved{Child: e.Child, Tokens: e.Tokens}
@@ -34,16 +34,16 @@
 }
 
 func (m *Machine) creditRequested(now time.Time, e CreditRequested) []Action {
-	sl := m.state.allocation(e.Child)
-	if sl == nil {
+	alloc := m.state.allocation(e.Child)
+	if alloc == nil {
 		return refuse(e.ID, problem.New(problem.NotFound, "the run has no such child"))
 	}
-	if sl.returned {
+	if alloc.returned {
 		return []Action{m.replyView(e.ID, 0, 0)}
 	}
-	again := slices.ContainsFunc(m.budgetRequests, func(a budgetRequest) bool { return !a.allocate && a.child == e.Child })
+	duplicate := slices.ContainsFunc(m.budgetRequests, func(a budgetRequest) bool { return !a.allocate && a.child == e.Child })
 	m.budgetRequests = append(m.budgetRequests, budgetRequest{id: e.ID, child: e.Child})
-	if again {
+	if duplicate {
 		return nil
 	}
 	record := &recordpb.Returned{Child: e.Child, Tokens: e.Tokens}
@@ -94,7 +94,7 @@
 	if m.state.ended != "" || m.endProposed || !m.loaded {
 		return nil
 	}
-	asked := m.ending != ""
+	alreadyEnding := m.ending != ""
 	m.ending = orDefault(m.ending, reason)
 	var out []Action
 	for _, c := range m.waiting {
@@ -102,7 +102,7 @@
 	}
 	m.waiting = nil
 	if c := m.open; c != nil {
-		if c.stage == sent && !asked {
+		if c.stage == sent && !alreadyEnding {
 			out = append(out, Abort{Sequence: c.turn.GetSequence(), Attempt: c.attempt})
 		}
 		return out
--- a/rockbarrow/program/event.go
+++ b/rockbarrow/program/event.go
@@ -181,7 +181,7 @@
 	ProposedAt time.Time
 }
 
-// Abort stops an attempt that may be under way.
+// Abort stops an attempt that may be in progress.
 type Abort struct {
 	Sequence uint64
 	Attempt  uint32
--- a/rockbarrow/program/state.go
+++ b/rockbarrow/program/state.go
@@ -301,9 +301,9 @@
 		s.credited = true
 		return
 	}
-	if sl := s.allocation(c.GetChild()); sl != nil && !sl.returned {
-		sl.returned = true
-		s.spent -= min(sl.tokens, c.GetTokens())
+	if alloc := s.allocation(c.GetChild()); alloc != nil && !alloc.returned {
+		alloc.returned = true
+		s.spent -= min(alloc.tokens, c.GetTokens())
 	}
 }
 
