--- a/rockbarrow/config/lead.go
+++ b/rockbarrow/config/lead.go
@@ -62,7 +62,7 @@
 	if s.voter.lastIndex() == 0 && !s.allHeard() {
 		return
 	}
-	if b := s.voter.promised(); b.Instance() != "" && s.View().Writes(b) {
+	if b := s.voter.promised(); b.Instance() != "" && s.View().IsWriterAlive(b) {
 		return
 	}
 	s.next = now.Add(campaignPause + time.Duration(rand.Int64N(int64(campaignPause))))
--- a/rockbarrow/config/lead_test.go
+++ b/rockbarrow/config/lead_test.go
@@ -19,8 +19,8 @@
 	self := roster.NewPeer("a2", "a", "", false, true)
 	table := &roster.Table{Self: self, Peers: []roster.Peer{self, roster.NewPeer("a3", "a", "", false, true)}, Rand: rand.New(rand.NewPCG(1, 1))}
 	now := time.Unix(1000, 0)
-	table.Handle(now, roster.Ticked{Own: roster.NewBeat("a2", 1, 0)})
-	table.Handle(now, roster.Heard{Beats: []roster.Beat{roster.NewBeat("a3", 1, 0).At(1)}})
+	table.Handle(now, roster.Tick{Local: roster.NewHeartbeat("a2", 1, 0)})
+	table.Handle(now, roster.HeartbeatsReceived{Heartbeats: []roster.Heartbeat{roster.NewHeartbeat("a3", 1, 0).WithCounter(1)}})
 	s.View = table.View
 	s.Incarnation = 1
 	other := &journal.Replica{}
--- a/rockbarrow/config/source_test.go
+++ b/rockbarrow/config/source_test.go
@@ -49,7 +49,7 @@
 		roster.NewPeer("b1", "b", "", false, true), roster.NewPeer("c1", "c", "", false, true),
 	}
 	table := &roster.Table{Self: all[1], Peers: all, Rand: rand.New(rand.NewPCG(1, 1))}
-	table.Handle(time.Unix(1000, 0), roster.Heard{})
+	table.Handle(time.Unix(1000, 0), roster.HeartbeatsReceived{})
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	s := &Source{
--- a/rockbarrow/daemon/build.go
+++ b/rockbarrow/daemon/build.go
@@ -108,8 +108,8 @@
 			DeadAfter: settings.Milliseconds(d.Settings.Timing.DeadAfterMS),
 			Rand:      rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 		},
-		Peers: d.client, Every: settings.Milliseconds(d.Settings.Timing.HeartbeatMS),
-		Own: d.own, Hint: d.hint, Metrics: d.scope,
+		Transport: d.client, Interval: settings.Milliseconds(d.Settings.Timing.HeartbeatMS),
+		Local: d.own, OnPeerVersion: d.hint, Metrics: d.scope,
 	}
 	d.node.Start()
 }
--- a/rockbarrow/daemon/daemon.go
+++ b/rockbarrow/daemon/daemon.go
@@ -167,7 +167,7 @@
 // loss would leave with too few copies.
 func (d *Daemon) neighboursRepair() bool {
 	for _, i := range d.node.View().Instances() {
-		if i.Domain() == d.Settings.Domain && i.Instance() != d.Settings.Instance && i.State() == roster.Live && i.Beat().Repairing() > 0 {
+		if i.Domain() == d.Settings.Domain && i.Instance() != d.Settings.Instance && i.State() == roster.Live && i.Heartbeat().UnderReplicatedRuns() > 0 {
 			return true
 		}
 	}
@@ -273,11 +273,11 @@
 }
 
 // own is the instance's word on itself.
-func (d *Daemon) own() roster.Beat {
+func (d *Daemon) own() roster.Heartbeat {
 	owned, _, repairing := d.host.Counts()
-	b := roster.NewBeat(d.Settings.Instance, d.incarnation, d.host.Storage)
+	b := roster.NewHeartbeat(d.Settings.Instance, d.incarnation, d.host.Storage)
 	leaving := d.stopping.get() || d.withdrawn()
-	return b.With(leaving, d.source.Learned(), d.source.Snapshot().Version(), uint64(owned), uint64(repairing))
+	return b.WithStatus(leaving, d.source.Learned(), d.source.Snapshot().Version(), uint64(owned), uint64(repairing))
 }
 
 // places counts the instances and disks of each failure domain.
--- a/rockbarrow/endpointlist/list.go
+++ b/rockbarrow/endpointlist/list.go
@@ -38,7 +38,7 @@
 
 // Roster receives the listed states of instances.
 type Roster interface {
-	Listed(l roster.Listed)
+	HandlePlatformUpdate(l roster.PlatformUpdate)
 }
 
 // Poller polls the list. Set the exported fields before calling Run.
@@ -102,16 +102,16 @@
 // apply forwards the listed states. A listed endpoint that is not live takes no new
 // calls; this is only reset when the endpoint restarts, never by the list.
 func (p *Poller) apply(l *List) {
-	var listed roster.Listed
+	var listed roster.PlatformUpdate
 	for _, i := range l.Instances {
 		switch i.State {
 		case "gone":
-			listed.Gone = append(listed.Gone, i.Name)
+			listed.Removed = append(listed.Removed, i.Name)
 		case "leaving":
 			listed.Leaving = append(listed.Leaving, i.Name)
 		}
 	}
-	p.Roster.Listed(listed)
+	p.Roster.HandlePlatformUpdate(listed)
 	f := p.Desk.Fleet()
 	if f == nil {
 		return
--- a/rockbarrow/gossip/node.go
+++ b/rockbarrow/gossip/node.go
@@ -18,28 +18,28 @@
 // timeout bounds one exchange.
 const timeout = time.Second
 
-// Peers exchanges beats.
-type Peers interface {
-	Heartbeat(ctx context.Context, instance string, beats []roster.Beat) ([]roster.Beat, error)
+// Transport exchanges beats.
+type Transport interface {
+	Heartbeat(ctx context.Context, instance string, beats []roster.Heartbeat) ([]roster.Heartbeat, error)
 }
 
 // Node is one for each instance. Set the exported fields before Start.
 type Node struct {
-	Table *roster.Table
-	Peers Peers
-	Every time.Duration
-	// Own returns the instance's word on itself.
-	Own func() roster.Beat
-	// Hint is told of the versions that peers have.
-	Hint    func(instance string, version uint64)
-	Metrics tally.Scope
+	Table     *roster.Table
+	Transport Transport
+	Interval  time.Duration
+	// Local returns the instance's word on itself.
+	Local func() roster.Heartbeat
+	// OnPeerVersion is told of the versions that peers have.
+	OnPeerVersion func(instance string, version uint64)
+	Metrics       tally.Scope
 
 	mu   sync.Mutex
 	view atomic.Pointer[roster.View]
 }
 
 // Start makes the first view.
-func (n *Node) Start() { n.step(roster.Heard{}) }
+func (n *Node) Start() { n.step(roster.HeartbeatsReceived{}) }
 
 // View returns the newest view.
 func (n *Node) View() *roster.View { return n.view.Load() }
@@ -48,34 +48,34 @@
 func (n *Node) Run(ctx context.Context) { n.loop(ctx) }
 
 func (n *Node) loop(ctx context.Context) {
-	t := time.NewTicker(n.Every)
+	t := time.NewTicker(n.Interval)
 	defer t.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-t.C:
-			n.step(roster.Ticked{Own: n.Own()})
+			n.step(roster.Tick{Local: n.Local()})
 		}
 	}
 }
 
-// Heard takes beats from a peer and returns the own ones.
-func (n *Node) Heard(beats []roster.Beat) []roster.Beat {
-	n.step(roster.Heard{Beats: beats})
+// HandleHeartbeats takes beats from a peer and returns the own ones.
+func (n *Node) HandleHeartbeats(beats []roster.Heartbeat) []roster.Heartbeat {
+	n.step(roster.HeartbeatsReceived{Heartbeats: beats})
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.Table.Beats()
+	return n.Table.Heartbeats()
 }
 
-// Listed takes the platform's word.
-func (n *Node) Listed(l roster.Listed) { n.step(l) }
+// HandlePlatformUpdate takes the platform's word.
+func (n *Node) HandlePlatformUpdate(l roster.PlatformUpdate) { n.step(l) }
 
 func (n *Node) step(e roster.Event) {
 	n.mu.Lock()
 	actions := n.Table.Handle(time.Now(), e)
 	for _, a := range actions {
-		if c, ok := a.(roster.Changed); ok {
+		if c, ok := a.(roster.ViewChanged); ok {
 			n.view.Store(c.View)
 		}
 	}
@@ -98,16 +98,16 @@
 	defer cancel()
 	n := x.node
 	to := x.action.To.Instance()
-	beats, err := n.Peers.Heartbeat(ctx, to, x.action.Beats)
+	beats, err := n.Transport.Heartbeat(ctx, to, x.action.Heartbeats)
 	if err != nil {
 		n.Metrics.Counter("heartbeats_lost").Inc(1)
 		return
 	}
 	n.Metrics.Counter("heartbeats").Inc(1)
-	n.step(roster.Heard{Beats: beats})
+	n.step(roster.HeartbeatsReceived{Heartbeats: beats})
 	for _, b := range beats {
 		if b.Instance() == to {
-			n.Hint(to, b.ConfigVersion())
+			n.OnPeerVersion(to, b.ConfigVersion())
 		}
 	}
 }
--- a/rockbarrow/host/home.go
+++ b/rockbarrow/host/home.go
@@ -92,7 +92,7 @@
 		var b [idBytes]byte
 		rand.Read(b[:])
 		id = home + "." + hex.EncodeToString(b[:])
-		ranked := view.Ranked(id, home, true)
+		ranked := view.RankByKey(id, home, true)
 		if home == h.Domain && ranked[0].Instance() != h.Instance {
 			continue
 		}
--- a/rockbarrow/host/route.go
+++ b/rockbarrow/host/route.go
@@ -116,8 +116,8 @@
 // allAnswered reports whether no instance of the home is missing that could
 // know the run.
 func (w *route) allAnswered() bool {
-	for _, i := range w.host.View().Ranked(w.req.GetRun(), HomeOf(w.req.GetRun()), true) {
-		if i.State() == roster.Dead || i.State() == roster.Unheard {
+	for _, i := range w.host.View().RankByKey(w.req.GetRun(), HomeOf(w.req.GetRun()), true) {
+		if i.State() == roster.Dead || i.State() == roster.Unknown {
 			return false
 		}
 	}
@@ -135,7 +135,7 @@
 		}
 		known = known || k
 	}
-	for _, i := range w.host.View().Ranked(run, HomeOf(run), true) {
+	for _, i := range w.host.View().RankByKey(run, HomeOf(run), true) {
 		if i.State() == roster.Dead || ctx.Err() != nil {
 			continue
 		}
@@ -231,7 +231,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	i, _ := w.host.View().Find(instance)
-	go (&watch{host: w.host, instance: instance, incarnation: i.Beat().Incarnation(), cancel: cancel}).loop(ctx)
+	go (&watch{host: w.host, instance: instance, incarnation: i.Heartbeat().Incarnation(), cancel: cancel}).loop(ctx)
 	return w.host.Peers.Do(ctx, instance, req, emit)
 }
 
@@ -253,7 +253,7 @@
 			return
 		case <-t.C:
 			i, _ := w.host.View().Find(w.instance)
-			if i.State() == roster.Dead || i.Beat().Incarnation() != w.incarnation {
+			if i.State() == roster.Dead || i.Heartbeat().Incarnation() != w.incarnation {
 				w.cancel()
 				return
 			}
--- a/rockbarrow/host/run.go
+++ b/rockbarrow/host/run.go
@@ -102,7 +102,7 @@
 	if r.host.wrote(ballot) {
 		return r.unrested() || owner.NeedsRepair(members, v, r.name, HomeOf(r.name), r.host.self())
 	}
-	if v.Writes(ballot) {
+	if v.IsWriterAlive(ballot) {
 		return false
 	}
 	m, ok := owner.Successor(members, v)
--- a/rockbarrow/host/serve.go
+++ b/rockbarrow/host/serve.go
@@ -102,7 +102,7 @@
 	if h.wrote(ballot) && members.Contains(h.self()) {
 		return h.take(r, claimed{view: view})
 	}
-	if !req.GetTakeOver() && view.Writes(ballot) {
+	if !req.GetTakeOver() && view.IsWriterAlive(ballot) {
 		return nil, redirect(ballot.Instance(), false)
 	}
 	m, ok := owner.Successor(members, view)
--- a/rockbarrow/matrix/client_test.go
+++ b/rockbarrow/matrix/client_test.go
@@ -101,7 +101,7 @@
 		to := ""
 		if n.replica != nil && n.replica.Log().LastIndex() > 0 {
 			v := n.table.View()
-			if to = n.replica.Promised().Instance(); !v.Writes(n.replica.Promised()) {
+			if to = n.replica.Promised().Instance(); !v.IsWriterAlive(n.replica.Promised()) {
 				m, _ := owner.Successor(n.replica.Log().Members(), v)
 				to = m.Instance()
 			}
@@ -123,7 +123,7 @@
 	if b.Instance() == n.name() && b.Incarnation() == n.incarnation {
 		return d.startOwner(n, false)
 	}
-	if v.Writes(b) {
+	if v.IsWriterAlive(b) {
 		return false
 	}
 	m, ok := owner.Successor(n.replica.Log().Members(), v)
--- a/rockbarrow/matrix/driver_test.go
+++ b/rockbarrow/matrix/driver_test.go
@@ -134,7 +134,7 @@
 	n.up, n.paused, n.leaving = true, false, false
 	n.pausedMessages, n.owner = nil, nil
 	n.table = &roster.Table{Self: n.peer, Peers: peers, Rand: rand.New(rand.NewPCG(d.rand.Uint64(), 1)), Fanout: 8}
-	n.table.Handle(d.now, roster.Heard{})
+	n.table.Handle(d.now, roster.HeartbeatsReceived{})
 	if n.storage == 0 {
 		n.replica = nil
 	}
@@ -233,11 +233,11 @@
 	if !n.up || n.paused {
 		return
 	}
-	own := roster.NewBeat(n.name(), n.incarnation, n.storage).With(n.leaving, true, 1, 0, 0)
-	n.table.Handle(d.now, roster.Ticked{Own: own})
+	own := roster.NewHeartbeat(n.name(), n.incarnation, n.storage).WithStatus(n.leaving, true, 1, 0, 0)
+	n.table.Handle(d.now, roster.Tick{Local: own})
 	for _, o := range d.nodes {
 		if o != n && o.up && !o.paused && !d.blockedLinks[n.name()+">"+o.name()] {
-			o.table.Handle(d.now, roster.Heard{Beats: n.table.Beats()})
+			o.table.Handle(d.now, roster.HeartbeatsReceived{Heartbeats: n.table.Heartbeats()})
 		}
 	}
 }
@@ -256,7 +256,7 @@
 		d.startOwner(n, false)
 		return
 	}
-	if v.Writes(b) {
+	if v.IsWriterAlive(b) {
 		return
 	}
 	if m, ok := owner.Successor(n.replica.Log().Members(), v); ok && m.Is(n.self()) {
--- a/rockbarrow/operator/server.go
+++ b/rockbarrow/operator/server.go
@@ -193,7 +193,7 @@
 	version := s.Config.Snapshot().Version()
 	out := &operatorpb.StatusReply{Instance: s.Instance, NewestVersion: version, InForceEverywhere: true, Leader: s.Config.Leader(), CutOff: s.Config.CutOff()}
 	for _, i := range view.Instances() {
-		b := i.Beat()
+		b := i.Heartbeat()
 		st := &operatorpb.InstanceStatus{
 			Instance:      i.Instance(),
 			Domain:        i.Domain(),
@@ -202,12 +202,12 @@
 			ConfigVersion: b.ConfigVersion(),
 			Disk:          i.Disk(),
 			Control:       i.Control(),
-			OwnedRuns:     b.Owned(),
-			RepairingRuns: b.Repairing(),
+			OwnedRuns:     b.OwnedRuns(),
+			RepairingRuns: b.UnderReplicatedRuns(),
 			Learned:       b.Learned(),
 		}
-		if !i.Heard().IsZero() {
-			st.SilentMs = uint64(time.Since(i.Heard()).Milliseconds())
+		if !i.LastHeard().IsZero() {
+			st.SilentMs = uint64(time.Since(i.LastHeard()).Milliseconds())
 		}
 		out.NewestVersion = max(out.NewestVersion, b.ConfigVersion())
 		out.Instances = append(out.Instances, st)
--- a/rockbarrow/owner/plan.go
+++ b/rockbarrow/owner/plan.go
@@ -20,14 +20,14 @@
 // instances. The choice depends only on names, so instances that create the same
 // run choose the same members.
 func InitialMembers(v *roster.View, run, domain string) journal.Members {
-	home := v.Ranked(run, domain, true)
+	home := v.RankByKey(run, domain, true)
 	var out journal.Members
 	for _, i := range home[:min(targetCopies, len(home))] {
 		out = append(out, i.Member())
 	}
 	out = withDisk(out, home)
 	if len(out) < targetCopies {
-		if far := v.Ranked(run, domain, false); len(far) > 0 {
+		if far := v.RankByKey(run, domain, false); len(far) > 0 {
 			out = append(out, witness(far[0]))
 		}
 	}
@@ -54,7 +54,7 @@
 // witness returns the instance as a witness. A witness stores digests in memory
 // only, so it has the incarnation of the process.
 func witness(i roster.Instance) journal.Member {
-	return journal.NewMember(i.Instance(), i.Beat().Incarnation()).WithWitness()
+	return journal.NewMember(i.Instance(), i.Heartbeat().Incarnation()).WithWitness()
 }
 
 // memberStatus groups the members of a journal, and the instances that could
@@ -74,7 +74,7 @@
 func assessMembers(members journal.Members, v *roster.View, run, domain string, nonVoting func(journal.Member) bool) memberStatus {
 	var c memberStatus
 	for _, m := range members {
-		if !m.Witness() && v.Holds(m) && !nonVoting(m) {
+		if !m.Witness() && v.IsCurrentMember(m) && !nonVoting(m) {
 			c.present++
 		}
 		if !available(v, m) || nonVoting(m) {
@@ -89,8 +89,8 @@
 		c.copies++
 		c.disk = c.disk || m.Disk()
 	}
-	c.spareCopies = spareInstances(v.Ranked(run, domain, true), members)
-	c.spareWitnesses = spareInstances(v.Ranked(run, domain, false), members)
+	c.spareCopies = spareInstances(v.RankByKey(run, domain, true), members)
+	c.spareWitnesses = spareInstances(v.RankByKey(run, domain, false), members)
 	return c
 }
 
@@ -102,12 +102,12 @@
 		return false
 	}
 	if !m.Witness() {
-		return v.Holds(m)
+		return v.IsCurrentMember(m)
 	}
 	if i.State() == roster.Dead {
 		return false
 	}
-	return i.State() == roster.Unheard || i.Beat().Incarnation() == m.Incarnation()
+	return i.State() == roster.Unknown || i.Heartbeat().Incarnation() == m.Incarnation()
 }
 
 // spareInstances returns the usable instances that are not members.
@@ -180,7 +180,7 @@
 func lostAllDisks(members journal.Members, v *roster.View, nonVoting func(journal.Member) bool) bool {
 	disks, lost, present := 0, 0, 0
 	for _, m := range members {
-		gone := !v.Holds(m) || nonVoting(m)
+		gone := !v.IsCurrentMember(m) || nonVoting(m)
 		if m.Disk() {
 			disks++
 			if gone {
@@ -220,7 +220,7 @@
 // lostDisk returns a member with a disk that is lost, if there is one.
 func (c memberStatus) lostDisk(v *roster.View, nonVoting func(journal.Member) bool) (journal.Member, bool) {
 	for _, m := range c.dead {
-		if m.Disk() && (!v.Holds(m) || nonVoting(m)) {
+		if m.Disk() && (!v.IsCurrentMember(m) || nonVoting(m)) {
 			return m, true
 		}
 	}
@@ -251,7 +251,7 @@
 func Successor(members journal.Members, v *roster.View) (journal.Member, bool) {
 	var leaving *journal.Member
 	for _, m := range members {
-		if m.Witness() || !v.Holds(m) {
+		if m.Witness() || !v.IsCurrentMember(m) {
 			continue
 		}
 		i, _ := v.Find(m.Instance())
--- a/rockbarrow/owner/plan_test.go
+++ b/rockbarrow/owner/plan_test.go
@@ -19,10 +19,10 @@
 		roster.NewPeer("w1", "west", "", false, false),
 	}
 	table := &roster.Table{Self: peers[1], Peers: peers, Rand: rand.New(rand.NewPCG(1, 1))}
-	beat := func(instance string, incarnation uint64, leaving bool) roster.Beat {
-		return roster.NewBeat(instance, incarnation, 0).With(leaving, true, 1, 0, 0).At(1)
+	beat := func(instance string, incarnation uint64, leaving bool) roster.Heartbeat {
+		return roster.NewHeartbeat(instance, incarnation, 0).WithStatus(leaving, true, 1, 0, 0).WithCounter(1)
 	}
-	table.Handle(time.Unix(1000, 0), roster.Heard{Beats: []roster.Beat{beat("n1", 1, true), beat("n2", 1, false), beat("w1", 2, false)}})
+	table.Handle(time.Unix(1000, 0), roster.HeartbeatsReceived{Heartbeats: []roster.Heartbeat{beat("n1", 1, true), beat("n2", 1, false), beat("w1", 2, false)}})
 	lost := journal.Members{journal.NewMember("n1", 1), journal.NewMember("n2", 1), journal.NewMember("w1", 1).WithWitness()}
 	if !AtRisk(lost, table.View(), "north.r", "north") {
 		t.Fatal("not at risk although the stop would leave one vote of three")
--- a/rockbarrow/peer/client.go
+++ b/rockbarrow/peer/client.go
@@ -141,7 +141,7 @@
 }
 
 // Heartbeat exchanges beats with a peer.
-func (c *Client) Heartbeat(ctx context.Context, instance string, beats []roster.Beat) ([]roster.Beat, error) {
+func (c *Client) Heartbeat(ctx context.Context, instance string, beats []roster.Heartbeat) ([]roster.Heartbeat, error) {
 	p, err := c.dial(instance)
 	if err != nil {
 		return nil, err
--- a/rockbarrow/peer/server.go
+++ b/rockbarrow/peer/server.go
@@ -26,7 +26,7 @@
 
 // Roster takes beats and returns the own ones.
 type Roster interface {
-	Heard(beats []roster.Beat) []roster.Beat
+	HandleHeartbeats(beats []roster.Heartbeat) []roster.Heartbeat
 }
 
 // Server answers other instances. Set the exported fields before Register.
@@ -97,7 +97,7 @@
 		return nil, status.Errorf(codes.FailedPrecondition, "protocol %d does not work with %d", p, Protocol)
 	}
 	beats := toBeats(req.GetBeats())
-	out := s.Roster.Heard(beats)
+	out := s.Roster.HandleHeartbeats(beats)
 	for _, b := range beats {
 		s.Config.Hint(b.Instance(), b.ConfigVersion())
 	}
@@ -164,29 +164,29 @@
 	return operator.SendAudit(lines, req, stream.Send)
 }
 
-func fromBeats(beats []roster.Beat) []*peerpb.Beat {
+func fromBeats(beats []roster.Heartbeat) []*peerpb.Beat {
 	out := make([]*peerpb.Beat, 0, len(beats))
 	for _, b := range beats {
 		out = append(out, &peerpb.Beat{
 			Instance:      b.Instance(),
 			Incarnation:   b.Incarnation(),
-			Count:         b.Count(),
+			Count:         b.Counter(),
 			Leaving:       b.Leaving(),
 			Learned:       b.Learned(),
 			ConfigVersion: b.ConfigVersion(),
-			Owned:         b.Owned(),
-			Repairing:     b.Repairing(),
-			Storage:       b.Storage(),
+			Owned:         b.OwnedRuns(),
+			Repairing:     b.UnderReplicatedRuns(),
+			Storage:       b.StorageIncarnation(),
 		})
 	}
 	return out
 }
 
-func toBeats(beats []*peerpb.Beat) []roster.Beat {
-	out := make([]roster.Beat, 0, len(beats))
+func toBeats(beats []*peerpb.Beat) []roster.Heartbeat {
+	out := make([]roster.Heartbeat, 0, len(beats))
 	for _, p := range beats {
-		b := roster.NewBeat(p.GetInstance(), p.GetIncarnation(), p.GetStorage()).At(p.GetCount())
-		out = append(out, b.With(p.GetLeaving(), p.GetLearned(), p.GetConfigVersion(), p.GetOwned(), p.GetRepairing()))
+		b := roster.NewHeartbeat(p.GetInstance(), p.GetIncarnation(), p.GetStorage()).WithCounter(p.GetCount())
+		out = append(out, b.WithStatus(p.GetLeaving(), p.GetLearned(), p.GetConfigVersion(), p.GetOwned(), p.GetRepairing()))
 	}
 	return out
 }
--- a/rockbarrow/roster/bench_test.go
+++ b/rockbarrow/roster/bench_test.go
@@ -21,18 +21,18 @@
 			}
 			t := &Table{Self: peers[0], Peers: peers, Rand: rand.New(rand.NewPCG(1, 1))}
 			now := time.Unix(1000, 0)
-			beats := make([]Beat, n)
+			beats := make([]Heartbeat, n)
 			count := uint64(0)
 			b.ReportAllocs()
 			for b.Loop() {
 				count++
 				now = now.Add(500 * time.Millisecond)
 				for i := range beats {
-					beats[i] = NewBeat(peers[i].instance, 1, 0).At(count)
+					beats[i] = NewHeartbeat(peers[i].instance, 1, 0).WithCounter(count)
 				}
-				t.Handle(now, Ticked{Own: NewBeat(peers[0].instance, 1, 0)})
-				t.Handle(now, Heard{Beats: beats})
-				t.Handle(now, Heard{Beats: beats})
+				t.Handle(now, Tick{Local: NewHeartbeat(peers[0].instance, 1, 0)})
+				t.Handle(now, HeartbeatsReceived{Heartbeats: beats})
+				t.Handle(now, HeartbeatsReceived{Heartbeats: beats})
 			}
 		})
 	}
--- a/rockbarrow/roster/doc.go
+++ b/rockbarrow/roster/doc.go
@@ -12,7 +12,7 @@
 // disk is another member. So a wrong roster costs time and never history:
 //
 //	t := roster.Table{Self: self, Peers: peers, Rand: r}
-//	for _, a := range t.Handle(now, roster.Ticked{}) {
-//		// roster.Exchange: send beats to a peer; roster.Changed: a new View
+//	for _, a := range t.Handle(now, roster.Tick{}) {
+//		// roster.Exchange: send heartbeats to a peer; roster.ViewChanged: a new View
 //	}
 package roster
--- a/rockbarrow/roster/table.go
+++ b/rockbarrow/roster/table.go
@@ -21,41 +21,41 @@
 	farSlack = 4
 )
 
-// Event is what a [Table] handles: [Ticked], [Heard] or [Listed].
+// Event is what a [Table] handles: [Tick], [HeartbeatsReceived] or [PlatformUpdate].
 type Event interface{ event() }
 
-// Ticked is due once a period; Own is the instance's own word, whose counter
+// Tick is due once a period; Own is the instance's own word, whose counter
 // the table sets.
-type Ticked struct{ Own Beat }
+type Tick struct{ Local Heartbeat }
 
-// Heard brings beats from a peer.
-type Heard struct{ Beats []Beat }
+// HeartbeatsReceived brings heartbeats from a peer.
+type HeartbeatsReceived struct{ Heartbeats []Heartbeat }
 
-// Listed brings the platform's list.
-type Listed struct {
-	// Gone are instances that the platform no longer has, Leaving those that it
+// PlatformUpdate brings the platform's list.
+type PlatformUpdate struct {
+	// Removed are instances that the platform no longer has, Leaving those that it
 	// is about to stop.
-	Gone, Leaving []string
+	Removed, Leaving []string
 }
 
-func (Ticked) event() {}
-func (Heard) event()  {}
-func (Listed) event() {}
+func (Tick) event()               {}
+func (HeartbeatsReceived) event() {}
+func (PlatformUpdate) event()     {}
 
-// Action is what a [Table] wants done: [Exchange] or [Changed].
+// Action is what a [Table] wants done: [Exchange] or [ViewChanged].
 type Action interface{ action() }
 
-// Exchange sends beats to a peer, whose reply comes back as [Heard].
+// Exchange sends beats to a peer, whose reply comes back as [HeartbeatsReceived].
 type Exchange struct {
-	To    Peer
-	Beats []Beat
+	To         Peer
+	Heartbeats []Heartbeat
 }
 
-// Changed publishes a new view.
-type Changed struct{ View *View }
+// ViewChanged publishes a new view.
+type ViewChanged struct{ View *View }
 
-func (Exchange) action() {}
-func (Changed) action()  {}
+func (Exchange) action()    {}
+func (ViewChanged) action() {}
 
 // Table is the roster of one instance. Set the exported fields before the first
 // event; zero takes the defaults.
@@ -76,7 +76,7 @@
 
 type entry struct {
 	peer    Peer
-	beat    Beat
+	beat    Heartbeat
 	heard   time.Time
 	gone    bool
 	leaving bool
@@ -86,22 +86,22 @@
 func (t *Table) Handle(now time.Time, e Event) []Action {
 	t.start(now)
 	switch e := e.(type) {
-	case Ticked:
-		return t.tick(now, e.Own)
-	case Heard:
-		t.hear(now, e.Beats)
-	case Listed:
+	case Tick:
+		return t.tick(now, e.Local)
+	case HeartbeatsReceived:
+		t.hear(now, e.Heartbeats)
+	case PlatformUpdate:
 		t.listed(e)
 	}
 	return t.publish(now)
 }
 
-// Beats returns all beats of the own domain, the own one first, to answer a
+// Heartbeats returns all heartbeats of the own domain, the own one first, to answer a
 // peer with.
-func (t *Table) Beats() []Beat {
-	var out []Beat
+func (t *Table) Heartbeats() []Heartbeat {
+	var out []Heartbeat
 	for _, e := range t.entries {
-		if e.beat.count == 0 || e.peer.domain != t.Self.domain {
+		if e.beat.counter == 0 || e.peer.domain != t.Self.domain {
 			continue
 		}
 		if e.peer.instance == t.Self.instance {
@@ -127,18 +127,18 @@
 	slices.SortFunc(t.entries, func(a, b entry) int { return cmp.Compare(a.peer.instance, b.peer.instance) })
 }
 
-func (t *Table) tick(now time.Time, own Beat) []Action {
+func (t *Table) tick(now time.Time, own Heartbeat) []Action {
 	t.count++
-	t.hear(now, []Beat{own.At(t.count)})
+	t.hear(now, []Heartbeat{own.WithCounter(t.count)})
 	t.periods++
 	out := t.publish(now)
-	beats := t.Beats()
+	beats := t.Heartbeats()
 	for _, p := range t.pick(true, or(t.Fanout, DefaultFanout)) {
-		out = append(out, Exchange{To: p, Beats: beats})
+		out = append(out, Exchange{To: p, Heartbeats: beats})
 	}
 	if t.periods%farEvery == 0 {
 		for _, p := range t.pick(false, 1) {
-			out = append(out, Exchange{To: p, Beats: beats})
+			out = append(out, Exchange{To: p, Heartbeats: beats})
 		}
 	}
 	return out
@@ -157,7 +157,7 @@
 	return all[:min(n, len(all))]
 }
 
-func (t *Table) hear(now time.Time, beats []Beat) {
+func (t *Table) hear(now time.Time, beats []Heartbeat) {
 	for _, b := range beats {
 		e := t.find(b.instance)
 		if e == nil || !b.newer(e.beat) {
@@ -173,13 +173,13 @@
 }
 
 // listed takes the platform's word about the lives known now.
-func (t *Table) listed(l Listed) {
+func (t *Table) listed(l PlatformUpdate) {
 	for n := range t.entries {
 		e := &t.entries[n]
 		if slices.Contains(l.Leaving, e.peer.instance) {
 			e.leaving = true
 		}
-		e.gone = slices.Contains(l.Gone, e.peer.instance)
+		e.gone = slices.Contains(l.Removed, e.peer.instance)
 	}
 }
 
@@ -197,19 +197,19 @@
 func (t *Table) publish(now time.Time) []Action {
 	v := &View{self: t.Self.instance, instances: make([]Instance, 0, len(t.entries))}
 	for _, e := range t.entries {
-		v.instances = append(v.instances, Instance{Peer: e.peer, state: t.judge(now, e), beat: e.beat, heard: e.heard})
+		v.instances = append(v.instances, Instance{Peer: e.peer, state: t.judge(now, e), heartbeat: e.beat, lastHeard: e.heard})
 	}
 	if t.view != nil && slices.EqualFunc(v.instances, t.view.instances, sameToOthers) {
 		return nil
 	}
 	t.view = v
-	return []Action{Changed{View: v}}
+	return []Action{ViewChanged{View: v}}
 }
 
 // sameToOthers leaves the counters out, which rise all the time.
 func sameToOthers(a, b Instance) bool {
-	a.beat.count, b.beat.count = 0, 0
-	return a.state == b.state && a.beat == b.beat
+	a.heartbeat.counter, b.heartbeat.counter = 0, 0
+	return a.state == b.state && a.heartbeat == b.heartbeat
 }
 
 func (t *Table) judge(now time.Time, e entry) State {
@@ -226,11 +226,11 @@
 	if e.peer.domain != t.Self.domain {
 		limit *= farSlack
 	}
-	if e.beat.count == 0 {
+	if e.beat.counter == 0 {
 		if now.Sub(t.started) > limit {
 			return Dead
 		}
-		return Unheard
+		return Unknown
 	}
 	if now.Sub(e.heard) > limit {
 		return Dead
--- a/rockbarrow/roster/table_test.go
+++ b/rockbarrow/roster/table_test.go
@@ -39,14 +39,14 @@
 			continue
 		}
 		t := g.tables[name]
-		for _, a := range t.Handle(g.now, Ticked{Own: NewBeat(name, 1+life[name], 0)}) {
+		for _, a := range t.Handle(g.now, Tick{Local: NewHeartbeat(name, 1+life[name], 0)}) {
 			x, ok := a.(Exchange)
 			if !ok || g.down[x.To.instance] {
 				continue
 			}
 			g.sent++
-			g.tables[x.To.instance].Handle(g.now, Heard{Beats: x.Beats})
-			t.Handle(g.now, Heard{Beats: g.tables[x.To.instance].Beats()})
+			g.tables[x.To.instance].Handle(g.now, HeartbeatsReceived{Heartbeats: x.Heartbeats})
+			t.Handle(g.now, HeartbeatsReceived{Heartbeats: g.tables[x.To.instance].Heartbeats()})
 		}
 	}
 }
@@ -95,7 +95,7 @@
 		g.period(map[string]uint64{"i01": 1})
 	}
 	v := g.tables["i00"].View()
-	if v.Holds(old.Member()) {
+	if v.IsCurrentMember(old.Member()) {
 		t.Fatal("the life before the restart still counts")
 	}
 	if i, _ := v.Find("i01"); i.State() != Live {
@@ -109,11 +109,11 @@
 		g.period(nil)
 	}
 	table := g.tables["i00"]
-	table.Handle(g.now, Listed{Gone: []string{"i01"}})
+	table.Handle(g.now, PlatformUpdate{Removed: []string{"i01"}})
 	if i, _ := table.View().Find("i01"); i.State() != Live {
 		t.Fatalf("state %v on the platform's word alone, want live", i.State())
 	}
-	table.Handle(g.now.Add(1600*time.Millisecond), Listed{Gone: []string{"i01"}})
+	table.Handle(g.now.Add(1600*time.Millisecond), PlatformUpdate{Removed: []string{"i01"}})
 	if i, _ := table.View().Find("i01"); i.State() != Dead {
 		t.Fatalf("state %v on both words, want dead", i.State())
 	}
@@ -125,15 +125,15 @@
 		g.period(nil)
 	}
 	table := g.tables["i00"]
-	table.Handle(g.now, Listed{Leaving: []string{"i01"}})
+	table.Handle(g.now, PlatformUpdate{Leaving: []string{"i01"}})
 	if i, _ := table.View().Find("i01"); i.State() != Leaving {
 		t.Fatalf("state %v, want leaving", i.State())
 	}
-	table.Handle(g.now, Listed{})
+	table.Handle(g.now, PlatformUpdate{})
 	if i, _ := table.View().Find("i01"); i.State() != Leaving {
 		t.Fatalf("state %v after a list without it, want leaving", i.State())
 	}
-	table.Handle(g.now, Heard{Beats: []Beat{NewBeat("i01", 9, 0).At(1)}})
+	table.Handle(g.now, HeartbeatsReceived{Heartbeats: []Heartbeat{NewHeartbeat("i01", 9, 0).WithCounter(1)}})
 	if i, _ := table.View().Find("i01"); i.State() != Live {
 		t.Fatalf("state %v in its next life, want live", i.State())
 	}
--- a/rockbarrow/roster/view.go
+++ b/rockbarrow/roster/view.go
@@ -17,8 +17,8 @@
 
 // The states of an instance.
 const (
-	// Unheard has not been heard of since this process started.
-	Unheard State = iota
+	// Unknown has not been heard of since this process started.
+	Unknown State = iota
 	// Live raises its counter.
 	Live
 	// Leaving lives and takes nothing new.
@@ -64,19 +64,19 @@
 // Instance is a peer and what is known of it.
 type Instance struct {
 	Peer
-	state State
-	beat  Beat
-	heard time.Time
+	state     State
+	heartbeat Heartbeat
+	lastHeard time.Time
 }
 
 // State returns what is believed of the instance.
 func (i Instance) State() State { return i.state }
 
-// Beat returns the newest word of the instance.
-func (i Instance) Beat() Beat { return i.beat }
+// Heartbeat returns the newest word of the instance.
+func (i Instance) Heartbeat() Heartbeat { return i.heartbeat }
 
-// Heard returns when the counter last rose.
-func (i Instance) Heard() time.Time { return i.heard }
+// LastHeard returns when the counter last rose.
+func (i Instance) LastHeard() time.Time { return i.lastHeard }
 
 // Usable reports whether new work may go there.
 func (i Instance) Usable() bool { return i.state == Live }
@@ -84,10 +84,10 @@
 // Member returns the instance's present life as a member of journals. Its
 // incarnation is 0 while nothing has been heard.
 func (i Instance) Member() journal.Member {
-	if i.disk && i.beat.storage != 0 {
-		return journal.NewMember(i.instance, i.beat.storage).WithDisk()
+	if i.disk && i.heartbeat.storageIncarnation != 0 {
+		return journal.NewMember(i.instance, i.heartbeat.storageIncarnation).WithDisk()
 	}
-	return journal.NewMember(i.instance, i.beat.incarnation)
+	return journal.NewMember(i.instance, i.heartbeat.incarnation)
 }
 
 // View is all instances at one moment, ordered by name. It never changes.
@@ -113,29 +113,29 @@
 	return v.instances[i], true
 }
 
-// Holds reports whether a member is the present life of an instance that is
+// IsCurrentMember reports whether a member is the present life of an instance that is
 // not dead.
-func (v *View) Holds(m journal.Member) bool {
+func (v *View) IsCurrentMember(m journal.Member) bool {
 	i, ok := v.Find(m.Instance())
 	if !ok || i.state == Dead {
 		return false
 	}
-	return i.state == Unheard || i.Member().Is(m)
+	return i.state == Unknown || i.Member().Is(m)
 }
 
-// Writes reports whether the writer of a ballot is believed to live on in the
+// IsWriterAlive reports whether the writer of a ballot is believed to live on in the
 // process that took it.
-func (v *View) Writes(b journal.Ballot) bool {
+func (v *View) IsWriterAlive(b journal.Ballot) bool {
 	i, ok := v.Find(b.Instance())
 	if !ok || i.state == Dead {
 		return false
 	}
-	return i.state == Unheard || i.beat.incarnation == b.Incarnation()
+	return i.state == Unknown || i.heartbeat.incarnation == b.Incarnation()
 }
 
-// Ranked returns the instances of a failure domain, or of all others when
+// RankByKey returns the instances of a failure domain, or of all others when
 // inside is false, in the rendezvous order of a key.
-func (v *View) Ranked(key, domain string, inside bool) []Instance {
+func (v *View) RankByKey(key, domain string, inside bool) []Instance {
 	type scored struct {
 		instance Instance
 		score    uint64
@@ -156,66 +156,66 @@
 	return out
 }
 
-// Beat is what one instance tells of itself.
-type Beat struct {
-	instance      string
-	incarnation   uint64
-	count         uint64
-	leaving       bool
-	configVersion uint64
-	repairing     uint64
-	owned         uint64
-	storage       uint64
-	learned       bool
+// Heartbeat is what one instance tells of itself.
+type Heartbeat struct {
+	instance            string
+	incarnation         uint64
+	counter             uint64
+	leaving             bool
+	configVersion       uint64
+	underReplicatedRuns uint64
+	ownedRuns           uint64
+	storageIncarnation  uint64
+	learned             bool
 }
 
-// NewBeat returns the word of an instance's present life; storage is 0 without
+// NewHeartbeat returns the word of an instance's present life; storage is 0 without
 // a disk.
-func NewBeat(instance string, incarnation, storage uint64) Beat {
-	return Beat{instance: instance, incarnation: incarnation, storage: storage}
+func NewHeartbeat(instance string, incarnation, storage uint64) Heartbeat {
+	return Heartbeat{instance: instance, incarnation: incarnation, storageIncarnation: storage}
 }
 
-// At returns the beat with its counter set.
-func (b Beat) At(count uint64) Beat { b.count = count; return b }
+// WithCounter returns the beat with its counter set.
+func (b Heartbeat) WithCounter(count uint64) Heartbeat { b.counter = count; return b }
 
-// With returns the beat with what the instance tells of its work.
-func (b Beat) With(leaving, learned bool, configVersion, owned, repairing uint64) Beat {
+// WithStatus returns the beat with what the instance tells of its work.
+func (b Heartbeat) WithStatus(leaving, learned bool, configVersion, owned, repairing uint64) Heartbeat {
 	b.leaving = leaving
 	b.learned = learned
 	b.configVersion = configVersion
-	b.owned = owned
-	b.repairing = repairing
+	b.ownedRuns = owned
+	b.underReplicatedRuns = repairing
 	return b
 }
 
 // Instance returns the name.
-func (b Beat) Instance() string { return b.instance }
+func (b Heartbeat) Instance() string { return b.instance }
 
 // Incarnation returns the number of the process's life.
-func (b Beat) Incarnation() uint64 { return b.incarnation }
+func (b Heartbeat) Incarnation() uint64 { return b.incarnation }
 
-// Count returns the counter that the instance raises.
-func (b Beat) Count() uint64 { return b.count }
+// Counter returns the counter that the instance raises.
+func (b Heartbeat) Counter() uint64 { return b.counter }
 
 // Leaving reports whether the instance stops.
-func (b Beat) Leaving() bool { return b.leaving }
+func (b Heartbeat) Leaving() bool { return b.leaving }
 
 // Learned reports whether the instance knows the newest configuration.
-func (b Beat) Learned() bool { return b.learned }
+func (b Heartbeat) Learned() bool { return b.learned }
 
 // ConfigVersion returns the version in force there.
-func (b Beat) ConfigVersion() uint64 { return b.configVersion }
+func (b Heartbeat) ConfigVersion() uint64 { return b.configVersion }
 
-// Owned returns how many runs the instance owns.
-func (b Beat) Owned() uint64 { return b.owned }
+// OwnedRuns returns how many runs the instance owns.
+func (b Heartbeat) OwnedRuns() uint64 { return b.ownedRuns }
 
-// Repairing returns how many of them lack replicas.
-func (b Beat) Repairing() uint64 { return b.repairing }
+// UnderReplicatedRuns returns how many of them lack replicas.
+func (b Heartbeat) UnderReplicatedRuns() uint64 { return b.underReplicatedRuns }
 
-// Storage returns the number of the disk's life, or 0.
-func (b Beat) Storage() uint64 { return b.storage }
+// StorageIncarnation returns the number of the disk's life, or 0.
+func (b Heartbeat) StorageIncarnation() uint64 { return b.storageIncarnation }
 
 // newer reports whether b tells more of the same instance than o.
-func (b Beat) newer(o Beat) bool {
-	return cmp.Or(cmp.Compare(b.incarnation, o.incarnation), cmp.Compare(b.count, o.count)) > 0
+func (b Heartbeat) newer(o Heartbeat) bool {
+	return cmp.Or(cmp.Compare(b.incarnation, o.incarnation), cmp.Compare(b.counter, o.counter)) > 0
 }
