--- a/rockbarrow/gossip/node.go
+++ b/rockbarrow/gossip/node.go
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
 
-// Package gossip runs an instance's [roster.Table]: it exchanges beats with
-// peers and publishes each new view behind an atomic pointer.
+// Package gossip runs an instance's [roster.Table]: it exchanges heartbeats with
+// peers and publishes each new view through an atomic pointer.
 package gossip
 
 import (
@@ -15,22 +15,23 @@
 	"rockbarrow.dev/rockbarrow/roster"
 )
 
-// timeout bounds one exchange.
-const timeout = time.Second
+// exchangeTimeout bounds one exchange.
+const exchangeTimeout = time.Second
 
-// Transport exchanges beats.
+// Transport exchanges heartbeats with peers.
 type Transport interface {
-	Heartbeat(ctx context.Context, instance string, beats []roster.Heartbeat) ([]roster.Heartbeat, error)
+	Heartbeat(ctx context.Context, instance string, heartbeats []roster.Heartbeat) ([]roster.Heartbeat, error)
 }
 
-// Node is one for each instance. Set the exported fields before Start.
+// Node drives the membership table of an instance. The exported fields must be
+// set before Start.
 type Node struct {
 	Table     *roster.Table
 	Transport Transport
 	Interval  time.Duration
-	// Local returns the instance's word on itself.
+	// Local returns the instance's own heartbeat; the table sets its counter.
 	Local func() roster.Heartbeat
-	// OnPeerVersion is told of the versions that peers have.
+	// OnPeerVersion is called with the configuration version of a peer.
 	OnPeerVersion func(instance string, version uint64)
 	Metrics       tally.Scope
 
@@ -38,13 +39,13 @@
 	view atomic.Pointer[roster.View]
 }
 
-// Start makes the first view.
+// Start publishes the initial view.
 func (n *Node) Start() { n.step(roster.HeartbeatsReceived{}) }
 
-// View returns the newest view.
+// View returns the current view.
 func (n *Node) View() *roster.View { return n.view.Load() }
 
-// Run ticks until ctx ends.
+// Run starts a gossip period every Interval until ctx is done.
 func (n *Node) Run(ctx context.Context) { n.loop(ctx) }
 
 func (n *Node) loop(ctx context.Context) {
@@ -60,16 +61,16 @@
 	}
 }
 
-// HandleHeartbeats takes beats from a peer and returns the own ones.
-func (n *Node) HandleHeartbeats(beats []roster.Heartbeat) []roster.Heartbeat {
-	n.step(roster.HeartbeatsReceived{Heartbeats: beats})
+// HandleHeartbeats processes heartbeats from a peer and returns the known ones.
+func (n *Node) HandleHeartbeats(heartbeats []roster.Heartbeat) []roster.Heartbeat {
+	n.step(roster.HeartbeatsReceived{Heartbeats: heartbeats})
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.Table.Heartbeats()
 }
 
-// HandlePlatformUpdate takes the platform's word.
-func (n *Node) HandlePlatformUpdate(l roster.PlatformUpdate) { n.step(l) }
+// HandlePlatformUpdate processes an update from the platform.
+func (n *Node) HandlePlatformUpdate(u roster.PlatformUpdate) { n.step(u) }
 
 func (n *Node) step(e roster.Event) {
 	n.mu.Lock()
@@ -87,25 +88,25 @@
 	}
 }
 
-// exchange is one exchange of beats.
+// exchange sends heartbeats to a peer and processes its reply.
 type exchange struct {
 	node   *Node
 	action roster.Exchange
 }
 
 func (x *exchange) run() {
-	ctx, cancel := context.WithTimeout(context.Background(), timeout)
+	ctx, cancel := context.WithTimeout(context.Background(), exchangeTimeout)
 	defer cancel()
 	n := x.node
 	to := x.action.To.Instance()
-	beats, err := n.Transport.Heartbeat(ctx, to, x.action.Heartbeats)
+	heartbeats, err := n.Transport.Heartbeat(ctx, to, x.action.Heartbeats)
 	if err != nil {
 		n.Metrics.Counter("heartbeats_lost").Inc(1)
 		return
 	}
 	n.Metrics.Counter("heartbeats").Inc(1)
-	n.step(roster.HeartbeatsReceived{Heartbeats: beats})
-	for _, b := range beats {
+	n.step(roster.HeartbeatsReceived{Heartbeats: heartbeats})
+	for _, b := range heartbeats {
 		if b.Instance() == to {
 			n.OnPeerVersion(to, b.ConfigVersion())
 		}
--- a/rockbarrow/roster/bench_test.go
+++ b/rockbarrow/roster/bench_test.go
@@ -9,9 +9,8 @@
 	"time"
 )
 
-// BenchmarkPeriod measures one period of gossip at one instance among n of its
-// failure domain and 7 n elsewhere: its own tick and the two exchanges that
-// others start.
+// BenchmarkPeriod measures one gossip period of an instance with n instances in
+// its failure domain and 7n in others: its own tick and two received exchanges.
 func BenchmarkPeriod(b *testing.B) {
 	for _, n := range []int{8, 25, 49} {
 		b.Run(fmt.Sprintf("domain=%d", n), func(b *testing.B) {
@@ -21,18 +20,18 @@
 			}
 			t := &Table{Self: peers[0], Peers: peers, Rand: rand.New(rand.NewPCG(1, 1))}
 			now := time.Unix(1000, 0)
-			beats := make([]Heartbeat, n)
-			count := uint64(0)
+			heartbeats := make([]Heartbeat, n)
+			counter := uint64(0)
 			b.ReportAllocs()
 			for b.Loop() {
-				count++
+				counter++
 				now = now.Add(500 * time.Millisecond)
-				for i := range beats {
-					beats[i] = NewHeartbeat(peers[i].instance, 1, 0).WithCounter(count)
+				for i := range heartbeats {
+					heartbeats[i] = NewHeartbeat(peers[i].instance, 1, 0).WithCounter(counter)
 				}
 				t.Handle(now, Tick{Local: NewHeartbeat(peers[0].instance, 1, 0)})
-				t.Handle(now, HeartbeatsReceived{Heartbeats: beats})
-				t.Handle(now, HeartbeatsReceived{Heartbeats: beats})
+				t.Handle(now, HeartbeatsReceived{Heartbeats: heartbeats})
+				t.Handle(now, HeartbeatsReceived{Heartbeats: heartbeats})
 			}
 		})
 	}
--- a/rockbarrow/roster/doc.go
+++ b/rockbarrow/roster/doc.go
@@ -1,15 +1,18 @@
 // SPDX-License-Identifier: MIT
 
-// Package roster tells which instances live, leave or are dead.
+// Package roster implements gossip-based membership and failure detection.
 //
-// Every instance raises a counter of its own and gossips what it knows of its
-// failure domain with a few peers each period. An instance whose counter stands
-// still is dead here; the platform's list makes that judgement sooner but never
-// alone. A word of leaving counts at once from either source.
+// Every instance increments a heartbeat counter and, once a period, exchanges
+// the heartbeats of its failure domain with a few random peers. An instance
+// whose counter has not increased for a timeout is considered dead. An instance
+// that the platform lists as removed gets a shorter timeout, but is never
+// considered dead for that reason alone. An instance is considered leaving as
+// soon as either source says so.
 //
-// The roster is advice, not agreement. What must agree, the members of each
-// journal, is part of that journal, where an instance that restarted without a
-// disk is another member. So a wrong roster costs time and never history:
+// Views may differ between instances. The members of a journal, on which all
+// must agree, are recorded in the journal itself, where an instance that
+// restarted without a disk is a new member. A wrong view may therefore delay
+// work but cannot lose history.
 //
 //	t := roster.Table{Self: self, Peers: peers, Rand: r}
 //	for _, a := range t.Handle(now, roster.Tick{}) {
--- a/rockbarrow/roster/table.go
+++ b/rockbarrow/roster/table.go
@@ -10,31 +10,32 @@
 )
 
 const (
-	// DefaultDeadAfter is how long a counter may stand still.
+	// DefaultDeadAfter is the default of Table.DeadAfter.
 	DefaultDeadAfter = 3 * time.Second
-	// DefaultFanout is how many peers of the own domain hear from us a period.
+	// DefaultFanout is the default of Table.Fanout.
 	DefaultFanout = 2
-	// farEvery is how many periods pass between words to another domain.
-	farEvery = 4
-	// farSlack multiplies DeadAfter for instances of other domains, of which
-	// word comes rarely.
-	farSlack = 4
+	// farEvery is the number of periods between exchanges with another
+	// failure domain.
+	remoteExchangeInterval = 4
+	// farSlack multiplies DeadAfter for instances of other failure
+	// domains, whose heartbeats arrive less often.
+	remoteTimeoutFactor = 4
 )
 
 // Event is what a [Table] handles: [Tick], [HeartbeatsReceived] or [PlatformUpdate].
 type Event interface{ event() }
 
-// Tick is due once a period; Own is the instance's own word, whose counter
-// the table sets.
+// Tick starts a gossip period. Local is the instance's own heartbeat, whose
+// counter the table sets.
 type Tick struct{ Local Heartbeat }
 
-// HeartbeatsReceived brings heartbeats from a peer.
+// HeartbeatsReceived reports heartbeats from a peer.
 type HeartbeatsReceived struct{ Heartbeats []Heartbeat }
 
-// PlatformUpdate brings the platform's list.
+// PlatformUpdate reports the state of instances according to the platform.
 type PlatformUpdate struct {
-	// Removed are instances that the platform no longer has, Leaving those that it
-	// is about to stop.
+	// Removed lists instances that no longer exist, Leaving those about to be
+	// stopped.
 	Removed, Leaving []string
 }
 
@@ -42,10 +43,11 @@
 func (HeartbeatsReceived) event() {}
 func (PlatformUpdate) event()     {}
 
-// Action is what a [Table] wants done: [Exchange] or [ViewChanged].
+// Action is requested of the caller by a [Table]: [Exchange] or [ViewChanged].
 type Action interface{ action() }
 
-// Exchange sends beats to a peer, whose reply comes back as [HeartbeatsReceived].
+// Exchange sends heartbeats to a peer, whose reply is passed back as
+// [HeartbeatsReceived].
 type Exchange struct {
 	To         Peer
 	Heartbeats []Heartbeat
@@ -57,66 +59,69 @@
 func (Exchange) action()    {}
 func (ViewChanged) action() {}
 
-// Table is the roster of one instance. Set the exported fields before the first
-// event; zero takes the defaults.
+// Table tracks the membership as seen by one instance. The exported fields must
+// be set before the first event.
 type Table struct {
-	Self      Peer
-	Peers     []Peer
+	Self  Peer
+	Peers []Peer
+	// DeadAfter is how long the counter of an instance of the own failure domain
+	// may stay unchanged; 0 means DefaultDeadAfter.
 	DeadAfter time.Duration
-	Fanout    int
-	Rand      *rand.Rand
+	// Fanout is the number of peers of the own failure domain contacted in each
+	// period; 0 means DefaultFanout.
+	Fanout int
+	Rand   *rand.Rand
 
 	entries []entry
 	started time.Time
 	periods int
-	// count only rises.
-	count uint64
-	view  *View
+	counter uint64
+	view    *View
 }
 
 type entry struct {
-	peer    Peer
-	beat    Heartbeat
-	heard   time.Time
-	gone    bool
-	leaving bool
+	peer      Peer
+	heartbeat Heartbeat
+	lastHeard time.Time
+	removed   bool
+	leaving   bool
 }
 
-// Handle takes one event.
+// Handle processes an event and returns the resulting actions.
 func (t *Table) Handle(now time.Time, e Event) []Action {
-	t.start(now)
+	t.init(now)
 	switch e := e.(type) {
 	case Tick:
 		return t.tick(now, e.Local)
 	case HeartbeatsReceived:
-		t.hear(now, e.Heartbeats)
+		t.merge(now, e.Heartbeats)
 	case PlatformUpdate:
-		t.listed(e)
+		t.applyPlatformUpdate(e)
 	}
-	return t.publish(now)
+	return t.updateView(now)
 }
 
-// Heartbeats returns all heartbeats of the own domain, the own one first, to answer a
-// peer with.
+// Heartbeats returns the known heartbeats of the own failure domain, the local
+// one first. It is the reply to a peer's exchange.
 func (t *Table) Heartbeats() []Heartbeat {
 	var out []Heartbeat
 	for _, e := range t.entries {
-		if e.beat.counter == 0 || e.peer.domain != t.Self.domain {
+		if e.heartbeat.counter == 0 || e.peer.domain != t.Self.domain {
 			continue
 		}
 		if e.peer.instance == t.Self.instance {
-			out = slices.Insert(out, 0, e.beat)
+			out = slices.Insert(out, 0, e.heartbeat)
 			continue
 		}
-		out = append(out, e.beat)
+		out = append(out, e.heartbeat)
 	}
 	return out
 }
 
-// View returns the newest view.
+// View returns the current view.
 func (t *Table) View() *View { return t.view }
 
-func (t *Table) start(now time.Time) {
+func (t *Table) init(now time.Time) {
 	if t.entries != nil {
 		return
 	}
@@ -127,59 +132,60 @@
 	slices.SortFunc(t.entries, func(a, b entry) int { return cmp.Compare(a.peer.instance, b.peer.instance) })
 }
 
-func (t *Table) tick(now time.Time, own Heartbeat) []Action {
-	t.count++
-	t.hear(now, []Heartbeat{own.WithCounter(t.count)})
+func (t *Table) tick(now time.Time, local Heartbeat) []Action {
+	t.counter++
+	t.merge(now, []Heartbeat{local.WithCounter(t.counter)})
 	t.periods++
-	out := t.publish(now)
-	beats := t.Heartbeats()
-	for _, p := range t.pick(true, or(t.Fanout, DefaultFanout)) {
-		out = append(out, Exchange{To: p, Heartbeats: beats})
-	}
-	if t.periods%farEvery == 0 {
-		for _, p := range t.pick(false, 1) {
-			out = append(out, Exchange{To: p, Heartbeats: beats})
+	out := t.updateView(now)
+	heartbeats := t.Heartbeats()
+	for _, p := range t.randomPeers(true, valueOrDefault(t.Fanout, DefaultFanout)) {
+		out = append(out, Exchange{To: p, Heartbeats: heartbeats})
+	}
+	if t.periods%remoteExchangeInterval == 0 {
+		for _, p := range t.randomPeers(false, 1) {
+			out = append(out, Exchange{To: p, Heartbeats: heartbeats})
 		}
 	}
 	return out
 }
 
-// pick draws peers of the own domain, or of the others. Dead ones are drawn
-// too, so that a return is noticed.
-func (t *Table) pick(inside bool, n int) []Peer {
-	var all []Peer
+// randomPeers returns up to n random peers inside or outside the own failure
+// domain. Dead peers are included so that their return is detected.
+func (t *Table) randomPeers(sameDomain bool, n int) []Peer {
+	var candidates []Peer
 	for _, e := range t.entries {
-		if e.peer.instance != t.Self.instance && (e.peer.domain == t.Self.domain) == inside {
-			all = append(all, e.peer)
+		if e.peer.instance != t.Self.instance && (e.peer.domain == t.Self.domain) == sameDomain {
+			candidates = append(candidates, e.peer)
 		}
 	}
-	t.Rand.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
-	return all[:min(n, len(all))]
+	t.Rand.Shuffle(len(candidates), func(i, j int) { candidates[i], candidates[j] = candidates[j], candidates[i] })
+	return candidates[:min(n, len(candidates))]
 }
 
-func (t *Table) hear(now time.Time, beats []Heartbeat) {
-	for _, b := range beats {
+func (t *Table) merge(now time.Time, heartbeats []Heartbeat) {
+	for _, b := range heartbeats {
 		e := t.find(b.instance)
-		if e == nil || !b.newer(e.beat) {
+		if e == nil || !b.supersedes(e.heartbeat) {
 			continue
 		}
-		if b.incarnation != e.beat.incarnation {
+		if b.incarnation != e.heartbeat.incarnation {
 			e.leaving = false
-			e.gone = false
+			e.removed = false
 		}
-		e.beat = b
-		e.heard = now
+		e.heartbeat = b
+		e.lastHeard = now
 	}
 }
 
-// listed takes the platform's word about the lives known now.
-func (t *Table) listed(l PlatformUpdate) {
+// applyPlatformUpdate applies an update to the known incarnations. An instance
+// stays leaving until its incarnation changes.
+func (t *Table) applyPlatformUpdate(u PlatformUpdate) {
 	for n := range t.entries {
 		e := &t.entries[n]
-		if slices.Contains(l.Leaving, e.peer.instance) {
+		if slices.Contains(u.Leaving, e.peer.instance) {
 			e.leaving = true
 		}
-		e.gone = slices.Contains(l.Removed, e.peer.instance)
+		e.removed = slices.Contains(u.Removed, e.peer.instance)
 	}
 }
 
@@ -193,55 +199,54 @@
 	return &t.entries[i]
 }
 
-// publish makes a view when a state, a life or a version has changed.
-func (t *Table) publish(now time.Time) []Action {
+// updateView replaces the view if anything but a counter has changed.
+func (t *Table) updateView(now time.Time) []Action {
 	v := &View{self: t.Self.instance, instances: make([]Instance, 0, len(t.entries))}
 	for _, e := range t.entries {
-		v.instances = append(v.instances, Instance{Peer: e.peer, state: t.judge(now, e), heartbeat: e.beat, lastHeard: e.heard})
+		v.instances = append(v.instances, Instance{Peer: e.peer, state: t.stateOf(now, e), heartbeat: e.heartbeat, lastHeard: e.lastHeard})
 	}
-	if t.view != nil && slices.EqualFunc(v.instances, t.view.instances, sameToOthers) {
+	if t.view != nil && slices.EqualFunc(v.instances, t.view.instances, equalExceptCounter) {
 		return nil
 	}
 	t.view = v
 	return []Action{ViewChanged{View: v}}
 }
 
-// sameToOthers leaves the counters out, which rise all the time.
-func sameToOthers(a, b Instance) bool {
+func equalExceptCounter(a, b Instance) bool {
 	a.heartbeat.counter, b.heartbeat.counter = 0, 0
 	return a.state == b.state && a.heartbeat == b.heartbeat
 }
 
-func (t *Table) judge(now time.Time, e entry) State {
+func (t *Table) stateOf(now time.Time, e entry) State {
 	if e.peer.instance == t.Self.instance {
-		if e.beat.leaving || e.leaving {
+		if e.heartbeat.leaving || e.leaving {
 			return Leaving
 		}
 		return Live
 	}
-	limit := or(t.DeadAfter, DefaultDeadAfter)
-	if e.gone {
+	limit := valueOrDefault(t.DeadAfter, DefaultDeadAfter)
+	if e.removed {
 		limit /= 2
 	}
 	if e.peer.domain != t.Self.domain {
-		limit *= farSlack
+		limit *= remoteTimeoutFactor
 	}
-	if e.beat.counter == 0 {
+	if e.heartbeat.counter == 0 {
 		if now.Sub(t.started) > limit {
 			return Dead
 		}
 		return Unknown
 	}
-	if now.Sub(e.heard) > limit {
+	if now.Sub(e.lastHeard) > limit {
 		return Dead
 	}
-	if e.beat.leaving || e.leaving {
+	if e.heartbeat.leaving || e.leaving {
 		return Leaving
 	}
 	return Live
 }
 
-func or[T comparable](v, fallback T) T {
+func valueOrDefault[T comparable](v, fallback T) T {
 	var zero T
 	if v == zero {
 		return fallback
--- a/rockbarrow/roster/table_test.go
+++ b/rockbarrow/roster/table_test.go
@@ -9,132 +9,132 @@
 	"time"
 )
 
-// group steps several tables with all exchanges delivered at once, except to
+// cluster runs several tables and delivers exchanges immediately, except to
 // and from instances that are down.
-type group struct {
-	tables map[string]*Table
-	names  []string
-	down   map[string]bool
-	now    time.Time
-	sent   int
+type cluster struct {
+	tables    map[string]*Table
+	names     []string
+	down      map[string]bool
+	now       time.Time
+	exchanges int
 }
 
-func newGroup(n int) *group {
-	g := &group{tables: map[string]*Table{}, down: map[string]bool{}, now: time.Unix(1000, 0)}
+func newCluster(n int) *cluster {
+	c := &cluster{tables: map[string]*Table{}, down: map[string]bool{}, now: time.Unix(1000, 0)}
 	var peers []Peer
 	for i := range n {
 		peers = append(peers, NewPeer(fmt.Sprintf("i%02d", i), "d1", "", false, false))
 	}
 	for i, p := range peers {
-		g.names = append(g.names, p.instance)
-		g.tables[p.instance] = &Table{Self: p, Peers: peers, Rand: rand.New(rand.NewPCG(uint64(i), 7))}
+		c.names = append(c.names, p.instance)
+		c.tables[p.instance] = &Table{Self: p, Peers: peers, Rand: rand.New(rand.NewPCG(uint64(i), 7))}
 	}
-	return g
+	return c
 }
 
-func (g *group) period(life map[string]uint64) {
-	g.now = g.now.Add(500 * time.Millisecond)
-	for _, name := range g.names {
-		if g.down[name] {
+func (c *cluster) runPeriod(incarnations map[string]uint64) {
+	c.now = c.now.Add(500 * time.Millisecond)
+	for _, name := range c.names {
+		if c.down[name] {
 			continue
 		}
-		t := g.tables[name]
-		for _, a := range t.Handle(g.now, Tick{Local: NewHeartbeat(name, 1+life[name], 0)}) {
+		t := c.tables[name]
+		for _, a := range t.Handle(c.now, Tick{Local: NewHeartbeat(name, 1+incarnations[name], 0)}) {
 			x, ok := a.(Exchange)
-			if !ok || g.down[x.To.instance] {
+			if !ok || c.down[x.To.instance] {
 				continue
 			}
-			g.sent++
-			g.tables[x.To.instance].Handle(g.now, HeartbeatsReceived{Heartbeats: x.Heartbeats})
-			t.Handle(g.now, HeartbeatsReceived{Heartbeats: g.tables[x.To.instance].Heartbeats()})
+			c.exchanges++
+			c.tables[x.To.instance].Handle(c.now, HeartbeatsReceived{Heartbeats: x.Heartbeats})
+			t.Handle(c.now, HeartbeatsReceived{Heartbeats: c.tables[x.To.instance].Heartbeats()})
 		}
 	}
 }
 
-func (g *group) states(of string) map[State]int {
+func (c *cluster) states(of string) map[State]int {
 	out := map[State]int{}
-	for _, name := range g.names {
-		if g.down[name] {
+	for _, name := range c.names {
+		if c.down[name] {
 			continue
 		}
-		i, _ := g.tables[name].View().Find(of)
+		i, _ := c.tables[name].View().Find(of)
 		out[i.State()]++
 	}
 	return out
 }
 
-func TestDeathIsNoticedByAllAndNoOther(t *testing.T) {
-	g := newGroup(49)
+func TestDeadInstanceIsDetectedByAll(t *testing.T) {
+	c := newCluster(49)
 	for range 20 {
-		g.period(nil)
+		c.runPeriod(nil)
 	}
-	g.down["i07"] = true
+	c.down["i07"] = true
 	for range 16 {
-		g.period(nil)
+		c.runPeriod(nil)
 	}
-	if got := g.states("i07"); got[Dead] != 48 {
-		t.Fatalf("states of the dead instance %v, want 48 dead", got)
+	if got := c.states("i07"); got[Dead] != 48 {
+		t.Fatalf("states of the dead instance: %v, want 48 dead", got)
 	}
-	if got := g.states("i08"); got[Live] != 48 {
-		t.Fatalf("states of a live instance %v, want 48 live", got)
+	if got := c.states("i08"); got[Live] != 48 {
+		t.Fatalf("states of a live instance: %v, want 48 live", got)
 	}
 }
 
-func TestReturnIsANewLife(t *testing.T) {
-	g := newGroup(3)
+func TestRestartIsANewIncarnation(t *testing.T) {
+	c := newCluster(3)
 	for range 10 {
-		g.period(nil)
+		c.runPeriod(nil)
 	}
-	old, _ := g.tables["i00"].View().Find("i01")
-	g.down["i01"] = true
+	old, _ := c.tables["i00"].View().Find("i01")
+	c.down["i01"] = true
 	for range 10 {
-		g.period(nil)
+		c.runPeriod(nil)
 	}
-	g.down["i01"] = false
+	c.down["i01"] = false
 	for range 6 {
-		g.period(map[string]uint64{"i01": 1})
+		c.runPeriod(map[string]uint64{"i01": 1})
 	}
-	v := g.tables["i00"].View()
+	v := c.tables["i00"].View()
 	if v.IsCurrentMember(old.Member()) {
-		t.Fatal("the life before the restart still counts")
+		t.Fatal("the incarnation before the restart is still a member")
 	}
 	if i, _ := v.Find("i01"); i.State() != Live {
-		t.Fatalf("state %v after the return, want live", i.State())
+		t.Fatalf("state %v after the restart, want live", i.State())
 	}
 }
 
-func TestPlatformAloneDoesNotKill(t *testing.T) {
-	g := newGroup(3)
+func TestPlatformUpdateAloneDoesNotMarkDead(t *testing.T) {
+	c := newCluster(3)
 	for range 10 {
-		g.period(nil)
+		c.runPeriod(nil)
 	}
-	table := g.tables["i00"]
-	table.Handle(g.now, PlatformUpdate{Removed: []string{"i01"}})
+	table := c.tables["i00"]
+	table.Handle(c.now, PlatformUpdate{Removed: []string{"i01"}})
 	if i, _ := table.View().Find("i01"); i.State() != Live {
-		t.Fatalf("state %v on the platform's word alone, want live", i.State())
+		t.Fatalf("state %v after a platform update only, want live", i.State())
 	}
-	table.Handle(g.now.Add(1600*time.Millisecond), PlatformUpdate{Removed: []string{"i01"}})
+	table.Handle(c.now.Add(1600*time.Millisecond), PlatformUpdate{Removed: []string{"i01"}})
 	if i, _ := table.View().Find("i01"); i.State() != Dead {
-		t.Fatalf("state %v on both words, want dead", i.State())
+		t.Fatalf("state %v after a platform update and half the timeout, want dead", i.State())
 	}
 }
 
-func TestLeavingCountsAtOnceAndTheNextLifeClearsIt(t *testing.T) {
-	g := newGroup(3)
+func TestLeavingIsClearedByNewIncarnation(t *testing.T) {
+	c := newCluster(3)
 	for range 10 {
-		g.period(nil)
+		c.runPeriod(nil)
 	}
-	table := g.tables["i00"]
-	table.Handle(g.now, PlatformUpdate{Leaving: []string{"i01"}})
+	table := c.tables["i00"]
+	table.Handle(c.now, PlatformUpdate{Leaving: []string{"i01"}})
 	if i, _ := table.View().Find("i01"); i.State() != Leaving {
 		t.Fatalf("state %v, want leaving", i.State())
 	}
-	table.Handle(g.now, PlatformUpdate{})
+	table.Handle(c.now, PlatformUpdate{})
 	if i, _ := table.View().Find("i01"); i.State() != Leaving {
-		t.Fatalf("state %v after a list without it, want leaving", i.State())
+		t.Fatalf("state %v after an empty platform update, want leaving", i.State())
 	}
-	table.Handle(g.now, HeartbeatsReceived{Heartbeats: []Heartbeat{NewHeartbeat("i01", 9, 0).WithCounter(1)}})
+	table.Handle(c.now, HeartbeatsReceived{Heartbeats: []Heartbeat{NewHeartbeat("i01", 9, 0).WithCounter(1)}})
 	if i, _ := table.View().Find("i01"); i.State() != Live {
-		t.Fatalf("state %v in its next life, want live", i.State())
+		t.Fatalf("state %v in a new incarnation, want live", i.State())
 	}
 }
--- a/rockbarrow/roster/view.go
+++ b/rockbarrow/roster/view.go
@@ -12,27 +12,27 @@
 	"rockbarrow.dev/rockbarrow/journal"
 )
 
-// State is what is believed of an instance.
+// State is the membership state of an instance.
 type State int
 
 // The states of an instance.
 const (
-	// Unknown has not been heard of since this process started.
+	// Unknown means that no heartbeat has arrived since this process started.
 	Unknown State = iota
-	// Live raises its counter.
+	// Live means that the heartbeat counter increases.
 	Live
-	// Leaving lives and takes nothing new.
+	// Leaving means that the instance runs but accepts no new work.
 	Leaving
-	// Dead has been silent for too long.
+	// Dead means that the heartbeat counter has not increased within the timeout.
 	Dead
 )
 
-// String returns the state's name in own formats.
+// String returns the state's name as used in the project's formats.
 func (s State) String() string {
 	return [...]string{"unheard", "live", "leaving", "dead"}[s]
 }
 
-// Peer is an instance as the settings name it.
+// Peer is an instance as configured in the settings.
 type Peer struct {
 	instance string
 	domain   string
@@ -41,7 +41,7 @@
 	control  bool
 }
 
-// NewPeer returns a peer; address is host:port of its peer protocol.
+// NewPeer returns a peer. The address is the host:port of its peer protocol.
 func NewPeer(instance, domain, address string, disk, control bool) Peer {
 	return Peer{instance: instance, domain: domain, address: address, disk: disk, control: control}
 }
@@ -52,16 +52,16 @@
 // Domain returns the instance's failure domain.
 func (p Peer) Domain() string { return p.domain }
 
-// Address returns host:port of the peer protocol.
+// Address returns the host:port of the peer protocol.
 func (p Peer) Address() string { return p.address }
 
-// Disk reports whether the instance keeps journals on a disk.
+// Disk reports whether the instance stores journals on disk.
 func (p Peer) Disk() bool { return p.disk }
 
 // Control reports whether the instance votes on the configuration.
 func (p Peer) Control() bool { return p.control }
 
-// Instance is a peer and what is known of it.
+// Instance is a peer together with its membership state.
 type Instance struct {
 	Peer
 	state     State
@@ -69,20 +69,20 @@
 	lastHeard time.Time
 }
 
-// State returns what is believed of the instance.
+// State returns the membership state.
 func (i Instance) State() State { return i.state }
 
-// Heartbeat returns the newest word of the instance.
+// Heartbeat returns the newest heartbeat of the instance.
 func (i Instance) Heartbeat() Heartbeat { return i.heartbeat }
 
-// LastHeard returns when the counter last rose.
+// LastHeard returns when the heartbeat counter last increased.
 func (i Instance) LastHeard() time.Time { return i.lastHeard }
 
-// Usable reports whether new work may go there.
+// Usable reports whether the instance accepts new work.
 func (i Instance) Usable() bool { return i.state == Live }
 
-// Member returns the instance's present life as a member of journals. Its
-// incarnation is 0 while nothing has been heard.
+// Member returns the journal member of the instance's current incarnation. The
+// incarnation is 0 until the first heartbeat.
 func (i Instance) Member() journal.Member {
 	if i.disk && i.heartbeat.storageIncarnation != 0 {
 		return journal.NewMember(i.instance, i.heartbeat.storageIncarnation).WithDisk()
@@ -90,7 +90,7 @@
 	return journal.NewMember(i.instance, i.heartbeat.incarnation)
 }
 
-// View is all instances at one moment, ordered by name. It never changes.
+// View is an immutable snapshot of the membership, ordered by name.
 type View struct {
 	self      string
 	instances []Instance
@@ -113,8 +113,8 @@
 	return v.instances[i], true
 }
 
-// IsCurrentMember reports whether a member is the present life of an instance that is
-// not dead.
+// IsCurrentMember reports whether a member belongs to the current incarnation of
+// an instance that is not dead.
 func (v *View) IsCurrentMember(m journal.Member) bool {
 	i, ok := v.Find(m.Instance())
 	if !ok || i.state == Dead {
@@ -123,8 +123,8 @@
 	return i.state == Unknown || i.Member().Is(m)
 }
 
-// IsWriterAlive reports whether the writer of a ballot is believed to live on in the
-// process that took it.
+// IsWriterAlive reports whether the process that took a ballot is considered to
+// be still running.
 func (v *View) IsWriterAlive(b journal.Ballot) bool {
 	i, ok := v.Find(b.Instance())
 	if !ok || i.state == Dead {
@@ -133,8 +133,8 @@
 	return i.state == Unknown || i.heartbeat.incarnation == b.Incarnation()
 }
 
-// RankByKey returns the instances of a failure domain, or of all others when
-// inside is false, in the rendezvous order of a key.
+// RankByKey returns the instances of a failure domain, or of all other failure
+// domains if inside is false, ordered by rendezvous hashing of a key.
 func (v *View) RankByKey(key, domain string, inside bool) []Instance {
 	type scored struct {
 		instance Instance
@@ -156,7 +156,7 @@
 	return out
 }
 
-// Heartbeat is what one instance tells of itself.
+// Heartbeat is the status that an instance gossips about itself.
 type Heartbeat struct {
 	instance            string
 	incarnation         uint64
@@ -169,53 +169,54 @@
 	learned             bool
 }
 
-// NewHeartbeat returns the word of an instance's present life; storage is 0 without
-// a disk.
-func NewHeartbeat(instance string, incarnation, storage uint64) Heartbeat {
-	return Heartbeat{instance: instance, incarnation: incarnation, storageIncarnation: storage}
+// NewHeartbeat returns a heartbeat of an incarnation of an instance. The storage
+// incarnation is 0 without a disk.
+func NewHeartbeat(instance string, incarnation, storageIncarnation uint64) Heartbeat {
+	return Heartbeat{instance: instance, incarnation: incarnation, storageIncarnation: storageIncarnation}
 }
 
-// WithCounter returns the beat with its counter set.
-func (b Heartbeat) WithCounter(count uint64) Heartbeat { b.counter = count; return b }
+// WithCounter returns a copy with the counter set.
+func (b Heartbeat) WithCounter(counter uint64) Heartbeat { b.counter = counter; return b }
 
-// WithStatus returns the beat with what the instance tells of its work.
-func (b Heartbeat) WithStatus(leaving, learned bool, configVersion, owned, repairing uint64) Heartbeat {
+// WithStatus returns a copy with the status fields set.
+func (b Heartbeat) WithStatus(leaving, learned bool, configVersion, ownedRuns, underReplicatedRuns uint64) Heartbeat {
 	b.leaving = leaving
 	b.learned = learned
 	b.configVersion = configVersion
-	b.ownedRuns = owned
-	b.underReplicatedRuns = repairing
+	b.ownedRuns = ownedRuns
+	b.underReplicatedRuns = underReplicatedRuns
 	return b
 }
 
-// Instance returns the name.
+// Instance returns the instance's name.
 func (b Heartbeat) Instance() string { return b.instance }
 
-// Incarnation returns the number of the process's life.
+// Incarnation returns the number that identifies the process since its start.
 func (b Heartbeat) Incarnation() uint64 { return b.incarnation }
 
-// Counter returns the counter that the instance raises.
+// Counter returns the counter, which increases with each heartbeat.
 func (b Heartbeat) Counter() uint64 { return b.counter }
 
-// Leaving reports whether the instance stops.
+// Leaving reports whether the instance is shutting down or drained.
 func (b Heartbeat) Leaving() bool { return b.leaving }
 
-// Learned reports whether the instance knows the newest configuration.
+// Learned reports whether the instance has the latest configuration.
 func (b Heartbeat) Learned() bool { return b.learned }
 
-// ConfigVersion returns the version in force there.
+// ConfigVersion returns the version of the active configuration.
 func (b Heartbeat) ConfigVersion() uint64 { return b.configVersion }
 
-// OwnedRuns returns how many runs the instance owns.
+// OwnedRuns returns the number of runs that the instance owns.
 func (b Heartbeat) OwnedRuns() uint64 { return b.ownedRuns }
 
-// UnderReplicatedRuns returns how many of them lack replicas.
+// UnderReplicatedRuns returns the number of runs that lack replicas.
 func (b Heartbeat) UnderReplicatedRuns() uint64 { return b.underReplicatedRuns }
 
-// StorageIncarnation returns the number of the disk's life, or 0.
+// StorageIncarnation returns the number that identifies the disk's contents, or
+// 0 without a disk.
 func (b Heartbeat) StorageIncarnation() uint64 { return b.storageIncarnation }
 
-// newer reports whether b tells more of the same instance than o.
-func (b Heartbeat) newer(o Heartbeat) bool {
+// supersedes reports whether b is newer than another heartbeat of the instance.
+func (b Heartbeat) supersedes(o Heartbeat) bool {
 	return cmp.Or(cmp.Compare(b.incarnation, o.incarnation), cmp.Compare(b.counter, o.counter)) > 0
 }
