--- a/rockbarrow/config/lead.go
+++ b/rockbarrow/config/lead.go
@@ -51,7 +51,7 @@
 // first control instance that lives.
 func (s *Source) lead(now time.Time) {
 	if s.leading() {
-		s.box.Post(control.Ticked{})
+		s.box.Post(control.Tick{})
 		s.reseat()
 		return
 	}
@@ -68,18 +68,18 @@
 	s.next = now.Add(campaignPause + time.Duration(rand.Int64N(int64(campaignPause))))
 	s.voter.mu.Lock()
 	l := &control.Leader{
-		Self:        s.self(),
-		Incarnation: s.Incarnation,
-		Voters:      s.voters(),
-		Replica:     s.voter.replica,
-		Places:      s.Places,
+		Self:           s.self(),
+		Incarnation:    s.Incarnation,
+		Voters:         s.voters(),
+		Replica:        s.voter.replica,
+		FailureDomains: s.Places,
 	}
 	s.voter.mu.Unlock()
 	s.leadMu.Lock()
 	s.leader = l
 	s.leadMu.Unlock()
 	s.Log.Info("campaigning for the control journal")
-	s.box.Post(control.Start{Round: s.rounds.Add(1)})
+	s.box.Post(control.Campaign{Round: s.rounds.Add(1)})
 }
 
 func (s *Source) leading() bool {
@@ -107,20 +107,20 @@
 	l := s.leader
 	if l == nil {
 		s.leadMu.Unlock()
-		if a, ok := e.(control.Asked); ok {
+		if a, ok := e.(control.CommandReceived); ok {
 			s.answer(a.ID, nil)
 		}
 		return
 	}
-	if _, ok := e.(control.Start); ok {
+	if _, ok := e.(control.Campaign); ok {
 		s.voter.mu.Lock()
 	}
 	actions := l.Handle(time.Now(), e)
-	if _, ok := e.(control.Start); ok {
+	if _, ok := e.(control.Campaign); ok {
 		s.voter.mu.Unlock()
 	}
-	folded := l.Folded()
-	doc, serves := l.State().Document(), l.Serves()
+	folded := l.AppliedIndex()
+	doc, serves := l.State().Document(), l.AcceptsCommands()
 	s.leadMu.Unlock()
 	if serves {
 		// Changes of the voters fold entries too, without a new version; those who
@@ -136,17 +136,17 @@
 	switch a := a.(type) {
 	case control.Send:
 		go (&delivery{source: s, to: a.To, message: a.Message}).run()
-	case control.Tell:
+	case control.Respond:
 		s.answer(a.ID, a.Outcome)
 	case control.Publish:
 		s.publish(a.Document, folded)
-	case control.Deposed:
+	case control.LeadershipLost:
 		s.leadMu.Lock()
 		if s.leader == l {
 			s.leader = nil
 		}
 		s.leadMu.Unlock()
-		for _, id := range a.Waiting {
+		for _, id := range a.Pending {
 			s.answer(id, nil)
 		}
 		s.Log.WithField("by", a.By.String()).Info("another instance leads the control journal")
@@ -191,20 +191,20 @@
 	if d.to.Is(s.self()) {
 		reply := s.voter.message(d.message)
 		if reply == nil {
-			s.box.Post(control.Lost{To: d.to})
+			s.box.Post(control.SendFailed{To: d.to})
 			return
 		}
-		s.box.Post(control.Replied{From: d.to, Reply: reply})
+		s.box.Post(control.ReplyReceived{From: d.to, Reply: reply})
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	reply, err := s.Peers.Journal(ctx, JournalName, d.to, d.message)
 	if err != nil || reply == nil {
-		s.box.Post(control.Lost{To: d.to})
+		s.box.Post(control.SendFailed{To: d.to})
 		return
 	}
-	s.box.Post(control.Replied{From: d.to, Reply: reply})
+	s.box.Post(control.ReplyReceived{From: d.to, Reply: reply})
 }
 
 // Apply decides an operator's command, here or at the leader. Errors are an
@@ -254,16 +254,16 @@
 func (s *Source) serves() bool {
 	s.leadMu.Lock()
 	defer s.leadMu.Unlock()
-	return s.leader != nil && s.leader.Serves()
+	return s.leader != nil && s.leader.AcceptsCommands()
 }
 
 func (s *Source) decide(ctx context.Context, operator string, req *operatorpb.ApplyRequest) (*recordpb.ControlOutcome, error) {
-	id := control.CommandID(s.commands.Add(1))
+	id := control.RequestID(s.commands.Add(1))
 	answer := make(chan *recordpb.ControlOutcome, 1)
 	s.leadMu.Lock()
 	s.waiting[id] = answer
 	s.leadMu.Unlock()
-	s.box.Post(control.Asked{ID: id, Operator: operator, Apply: req})
+	s.box.Post(control.CommandReceived{ID: id, Operator: operator, Request: req})
 	ctx, cancel := context.WithTimeout(ctx, 3*callTimeout)
 	defer cancel()
 	select {
@@ -278,7 +278,7 @@
 	}
 }
 
-func (s *Source) answer(id control.CommandID, out *recordpb.ControlOutcome) {
+func (s *Source) answer(id control.RequestID, out *recordpb.ControlOutcome) {
 	s.leadMu.Lock()
 	c := s.waiting[id]
 	delete(s.waiting, id)
@@ -292,7 +292,7 @@
 func (s *Source) Audit() ([]*recordpb.AuditRecord, error) {
 	s.leadMu.Lock()
 	defer s.leadMu.Unlock()
-	if s.leader == nil || !s.leader.Serves() {
+	if s.leader == nil || !s.leader.AcceptsCommands() {
 		return nil, &UnavailableError{Reason: "this instance does not lead"}
 	}
 	return append([]*recordpb.AuditRecord(nil), s.leader.State().Audit()...), nil
--- a/rockbarrow/config/lead_test.go
+++ b/rockbarrow/config/lead_test.go
@@ -28,7 +28,7 @@
 	s.leader = l
 	// Messages are carried by hand: the own ones to the voter, the others to a
 	// replica in the test.
-	queue := []control.Event{control.Start{Round: 1}}
+	queue := []control.Event{control.Campaign{Round: 1}}
 	for n := 0; len(queue) > 0 && n < 200; n++ {
 		e := queue[0]
 		queue = queue[1:]
@@ -41,15 +41,15 @@
 			if send.To.Is(s.self()) {
 				reply = s.voter.message(send.Message)
 			}
-			queue = append(queue, control.Replied{From: send.To, Reply: reply})
+			queue = append(queue, control.ReplyReceived{From: send.To, Reply: reply})
 		}
 		if n == 50 || len(queue) == 0 && n < 100 {
 			n = 100
-			queue = append(queue, control.Replacing{New: journal.NewMember("a4", 1), Old: journal.NewMember("a3", 1)})
+			queue = append(queue, control.ReplaceVoter{New: journal.NewMember("a4", 1), Old: journal.NewMember("a3", 1)})
 		}
 	}
-	s.step(control.Ticked{})
-	if got, want := s.Pull(0).GetFoldedIndex(), l.Folded(); got != want || want < 2 {
+	s.step(control.Tick{})
+	if got, want := s.Pull(0).GetFoldedIndex(), l.AppliedIndex(); got != want || want < 2 {
 		t.Fatalf("peers can learn up to entry %d, the leader folded %d", got, want)
 	}
 }
--- a/rockbarrow/config/source.go
+++ b/rockbarrow/config/source.go
@@ -83,7 +83,7 @@
 	Peers       Peers
 	// Store is nil without a disk.
 	Store  Store
-	Places []control.Place
+	Places []control.FailureDomain
 	View   func() *roster.View
 	// PullEvery is the period of pulls; PauseLimit is how long the loop may
 	// stand still before the instance has to learn anew.
@@ -113,7 +113,7 @@
 	leadMu sync.Mutex
 	leader *control.Leader
 	// waiting are operators whose command is not decided yet.
-	waiting map[control.CommandID]chan *recordpb.ControlOutcome
+	waiting map[control.RequestID]chan *recordpb.ControlOutcome
 	next    time.Time
 }
 
@@ -121,7 +121,7 @@
 func (s *Source) Start(kept []byte, r *journal.Replica) error {
 	s.current.Store(&held{snapshot: control.NewSnapshot(&configpb.Document{})})
 	s.box.Step = s.step
-	s.waiting = map[control.CommandID]chan *recordpb.ControlOutcome{}
+	s.waiting = map[control.RequestID]chan *recordpb.ControlOutcome{}
 	s.voter = voter{source: s, replica: r}
 	if kept == nil {
 		return nil
--- a/rockbarrow/config/voter.go
+++ b/rockbarrow/config/voter.go
@@ -110,7 +110,7 @@
 func (s *Source) reseat() {
 	s.leadMu.Lock()
 	l := s.leader
-	if l == nil || !l.Serves() || l.Writer().ChangingMembers() {
+	if l == nil || !l.AcceptsCommands() || l.Writer().ChangingMembers() {
 		s.leadMu.Unlock()
 		return
 	}
@@ -122,7 +122,7 @@
 		}
 		for _, m := range members {
 			if m.Instance() == i.Instance() {
-				s.box.Post(control.Replacing{New: i.Member(), Old: m})
+				s.box.Post(control.ReplaceVoter{New: i.Member(), Old: m})
 				return
 			}
 		}
--- a/rockbarrow/control/bench_test.go
+++ b/rockbarrow/control/bench_test.go
@@ -49,9 +49,9 @@
 // BenchmarkValidate measures judging a whole document at the leader.
 func BenchmarkValidate(b *testing.B) {
 	doc := sizedDocument(100)
-	var places []Place
+	var places []FailureDomain
 	for i := range 8 {
-		places = append(places, NewPlace(fmt.Sprintf("domain-%d", i), 49, 2))
+		places = append(places, NewFailureDomain(fmt.Sprintf("domain-%d", i), 49, 2))
 	}
 	if found := Validate(doc, places); len(found) > 0 {
 		b.Fatal(found[0])
--- a/rockbarrow/control/edit.go
+++ b/rockbarrow/control/edit.go
@@ -36,10 +36,10 @@
 	return out, len(out) < len(list)
 }
 
-// Edit returns the document after a command, without judging it. The given
+// ApplyCommand returns the document after a command, without judging it. The given
 // document stays as it is; objects are shared. Names of removed objects that
 // were not there are returned.
-func Edit(doc *configpb.Document, c *configpb.Command) (*configpb.Document, []string) {
+func ApplyCommand(doc *configpb.Document, c *configpb.Command) (*configpb.Document, []string) {
 	out := &configpb.Document{
 		Version:     doc.GetVersion() + 1,
 		Customers:   doc.GetCustomers(),
--- a/rockbarrow/control/leader.go
+++ b/rockbarrow/control/leader.go
@@ -13,43 +13,43 @@
 	"rockbarrow.dev/schema/recordpb"
 )
 
-// CommandID is the host's number for one waiting operator.
-type CommandID uint64
+// RequestID is the host's number for one waiting operator.
+type RequestID uint64
 
 // Event is what a [Leader] handles.
 type Event interface{ event() }
 
-// Start campaigns in a round that this process never used.
-type Start struct{ Round uint64 }
+// Campaign starts an election in a round that this process never used.
+type Campaign struct{ Round uint64 }
 
-// Replied is a voter's reply to a [Send].
-type Replied struct {
+// ReplyReceived is a voter's reply to a [Send].
+type ReplyReceived struct {
 	From  journal.Member
 	Reply journal.Reply
 }
 
-// Lost says that a [Send] got no reply.
-type Lost struct{ To journal.Member }
+// SendFailed says that a [Send] got no reply.
+type SendFailed struct{ To journal.Member }
 
-// Asked is an operator's command.
-type Asked struct {
-	ID       CommandID
+// CommandReceived is an operator's command.
+type CommandReceived struct {
+	ID       RequestID
 	Operator string
-	Apply    *operatorpb.ApplyRequest
+	Request  *operatorpb.ApplyRequest
 }
 
-// Replacing asks for another voter in the place of a lost one.
-type Replacing struct{ New, Old journal.Member }
+// ReplaceVoter asks for another voter in the place of a lost one.
+type ReplaceVoter struct{ New, Old journal.Member }
 
-// Ticked lets time pass.
-type Ticked struct{}
+// Tick lets time pass.
+type Tick struct{}
 
-func (Start) event()     {}
-func (Replied) event()   {}
-func (Lost) event()      {}
-func (Asked) event()     {}
-func (Replacing) event() {}
-func (Ticked) event()    {}
+func (Campaign) event()        {}
+func (ReplyReceived) event()   {}
+func (SendFailed) event()      {}
+func (CommandReceived) event() {}
+func (ReplaceVoter) event()    {}
+func (Tick) event()            {}
 
 // Action is what a [Leader] wants done.
 type Action interface{ action() }
@@ -60,26 +60,26 @@
 	Message journal.Message
 }
 
-// Tell answers a waiting operator with a stored outcome.
-type Tell struct {
-	ID      CommandID
+// Respond answers a waiting operator with a stored outcome.
+type Respond struct {
+	ID      RequestID
 	Outcome *recordpb.ControlOutcome
 }
 
 // Publish brings a version into force everywhere.
 type Publish struct{ Document *configpb.Document }
 
-// Deposed says that another leader was met. Commands still waiting have an
+// LeadershipLost says that another leader was met. Commands still waiting have an
 // outcome that is not determined here.
-type Deposed struct {
+type LeadershipLost struct {
 	By      journal.Ballot
-	Waiting []CommandID
+	Pending []RequestID
 }
 
-func (Send) action()    {}
-func (Tell) action()    {}
-func (Publish) action() {}
-func (Deposed) action() {}
+func (Send) action()           {}
+func (Respond) action()        {}
+func (Publish) action()        {}
+func (LeadershipLost) action() {}
 
 // Leader writes the control journal. Set the exported fields before the first
 // event.
@@ -87,9 +87,9 @@
 	Self        journal.Member
 	Incarnation uint64
 	// Voters are the first members of an empty journal.
-	Voters  journal.Members
-	Replica *journal.Replica
-	Places  []Place
+	Voters         journal.Members
+	Replica        *journal.Replica
+	FailureDomains []FailureDomain
 	// CompactAfter folds the journal once it holds this many entries.
 	CompactAfter uint64
 
@@ -97,13 +97,13 @@
 	state  State
 	// queue are commands not proposed yet; one is proposed at a time, so that
 	// each is decided under the state that it meets.
-	queue []Asked
+	queue []CommandReceived
 	// proposed waits for its entry to commit.
-	proposed *Asked
-	folded   uint64
+	proposed     *CommandReceived
+	appliedIndex uint64
 	// published is true once the leader has told what it took over.
 	published bool
-	replace   *Replacing
+	replace   *ReplaceVoter
 }
 
 // DefaultCompactAfter is the default of CompactAfter.
@@ -112,50 +112,50 @@
 // State returns the folded journal.
 func (l *Leader) State() *State { return &l.state }
 
-// Serves reports whether commands are taken.
-func (l *Leader) Serves() bool { return l.writer.Serves() }
+// AcceptsCommands reports whether commands are taken.
+func (l *Leader) AcceptsCommands() bool { return l.writer.Serves() }
 
 // Writer returns the journal's writer, for status.
 func (l *Leader) Writer() *journal.Writer { return &l.writer }
 
-// Folded returns the journal index up to which the document is folded.
-func (l *Leader) Folded() uint64 { return l.folded }
+// AppliedIndex returns the journal index up to which the document is folded.
+func (l *Leader) AppliedIndex() uint64 { return l.appliedIndex }
 
 // Handle takes one event.
 func (l *Leader) Handle(now time.Time, e Event) []Action {
 	switch e := e.(type) {
-	case Start:
+	case Campaign:
 		l.writer = journal.Writer{Self: l.Self, Incarnation: l.Incarnation, Initial: l.Voters, AnnounceCommits: true}
 		if l.Replica != nil {
 			l.writer.Restore(l.Replica)
 		}
 		return l.journal(now, journal.Campaign{Round: e.Round})
-	case Replied:
+	case ReplyReceived:
 		return l.journal(now, journal.Replied{From: e.From, Reply: e.Reply})
-	case Lost:
+	case SendFailed:
 		return l.journal(now, journal.NoReply{To: e.To})
-	case Asked:
+	case CommandReceived:
 		return l.asked(now, e)
-	case Replacing:
+	case ReplaceVoter:
 		l.replace = &e
 		return l.replaceStep(now)
-	case Ticked:
+	case Tick:
 		return append(l.journal(now, journal.Resend{}), l.replaceStep(now)...)
 	}
 	return nil
 }
 
-func (l *Leader) asked(now time.Time, e Asked) []Action {
-	if e.Apply.GetDryRun() {
-		return []Action{Tell{ID: e.ID, Outcome: l.decide(e)}}
+func (l *Leader) asked(now time.Time, e CommandReceived) []Action {
+	if e.Request.GetDryRun() {
+		return []Action{Respond{ID: e.ID, Outcome: l.decide(e)}}
 	}
 	l.queue = append(l.queue, e)
 	return l.proposeNext(now)
 }
 
-func (l *Leader) decide(e Asked) *recordpb.ControlOutcome {
-	a := e.Apply
-	return l.state.Decide(a.GetCommandId(), a.GetExpectedVersion(), a.GetCommand(), l.Places)
+func (l *Leader) decide(e CommandReceived) *recordpb.ControlOutcome {
+	a := e.Request
+	return l.state.Evaluate(a.GetCommandId(), a.GetExpectedVersion(), a.GetCommand(), l.FailureDomains)
 }
 
 // proposeNext decides waiting commands until one needs an entry.
@@ -165,9 +165,9 @@
 		e := l.queue[0]
 		l.queue = l.queue[1:]
 		outcome := l.decide(e)
-		known := l.state.Outcome(e.Apply.GetCommandId()) != nil
+		known := l.state.Outcome(e.Request.GetCommandId()) != nil
 		if known || outcome.GetResult() == recordpb.ControlOutcome_RESULT_REUSED_ID {
-			out = append(out, Tell{ID: e.ID, Outcome: outcome})
+			out = append(out, Respond{ID: e.ID, Outcome: outcome})
 			continue
 		}
 		l.proposed = &e
@@ -176,13 +176,13 @@
 	return out
 }
 
-func (l *Leader) propose(now time.Time, e Asked, outcome *recordpb.ControlOutcome) []Action {
+func (l *Leader) propose(now time.Time, e CommandReceived, outcome *recordpb.ControlOutcome) []Action {
 	r := &recordpb.ControlRecord{
 		AtMs:            now.UnixMilli(),
-		CommandId:       e.Apply.GetCommandId(),
+		CommandId:       e.Request.GetCommandId(),
 		Operator:        e.Operator,
-		ExpectedVersion: e.Apply.GetExpectedVersion(),
-		Command:         e.Apply.GetCommand(),
+		ExpectedVersion: e.Request.GetExpectedVersion(),
+		Command:         e.Request.GetCommand(),
 		Outcome:         outcome,
 	}
 	payload, err := proto.MarshalOptions{Deterministic: true}.Marshal(r)
@@ -214,7 +214,7 @@
 func (l *Leader) restore() {
 	base := l.writer.Log().Base()
 	l.state = State{}
-	l.folded = base.Index()
+	l.appliedIndex = base.Index()
 	if base.State() != nil {
 		if err := l.state.Restore(base.State()); err != nil {
 			// The base's digest chain was checked; only a foreign build writes this.
@@ -227,10 +227,10 @@
 	var out []Action
 	before := l.state.Document().GetVersion()
 	for _, e := range entries {
-		l.folded = e.Index()
+		l.appliedIndex = e.Index()
 		r := ApplyEntry(&l.state, e)
-		if p := l.proposed; p != nil && p.Apply.GetCommandId() == r.GetCommandId() {
-			out = append(out, Tell{ID: p.ID, Outcome: l.state.Outcome(r.GetCommandId())})
+		if p := l.proposed; p != nil && p.Request.GetCommandId() == r.GetCommandId() {
+			out = append(out, Respond{ID: p.ID, Outcome: l.state.Outcome(r.GetCommandId())})
 			l.proposed = nil
 		}
 	}
@@ -263,21 +263,21 @@
 		after = DefaultCompactAfter
 	}
 	log := l.writer.Log()
-	if l.folded-log.Base().Index() < after {
+	if l.appliedIndex-log.Base().Index() < after {
 		return
 	}
 	if state, err := l.state.Snapshot(); err == nil {
-		l.writer.Compact(l.folded, state)
+		l.writer.Compact(l.appliedIndex, state)
 	}
 }
 
 func (l *Leader) deposed(by journal.Ballot) Action {
-	d := Deposed{By: by}
+	d := LeadershipLost{By: by}
 	if l.proposed != nil {
-		d.Waiting = append(d.Waiting, l.proposed.ID)
+		d.Pending = append(d.Pending, l.proposed.ID)
 	}
 	for _, q := range l.queue {
-		d.Waiting = append(d.Waiting, q.ID)
+		d.Pending = append(d.Pending, q.ID)
 	}
 	l.proposed = nil
 	l.queue = nil
--- a/rockbarrow/control/leader_test.go
+++ b/rockbarrow/control/leader_test.go
@@ -17,7 +17,7 @@
 	"rockbarrow.dev/schema/recordpb"
 )
 
-var testPlaces = []Place{NewPlace("east", 3, 1), NewPlace("west", 2, 0)}
+var testPlaces = []FailureDomain{NewFailureDomain("east", 3, 1), NewFailureDomain("west", 2, 0)}
 
 func putModel(name string) *configpb.Command {
 	return &configpb.Command{Changes: []*configpb.Change{{Edit: &configpb.Change_PutModel{PutModel: &configpb.Model{Name: name}}}}}
@@ -31,8 +31,8 @@
 	leaders  []*Leader
 	queue    []func()
 	down     map[string]bool
-	told     map[CommandID]*recordpb.ControlOutcome
-	lost     map[CommandID]bool
+	told     map[RequestID]*recordpb.ControlOutcome
+	lost     map[RequestID]bool
 	doc      *configpb.Document
 	round    uint64
 	now      time.Time
@@ -41,7 +41,7 @@
 func newCouncil(t testing.TB, n int) *council {
 	c := &council{
 		t: t, replicas: map[journal.Member]*journal.Replica{}, down: map[string]bool{},
-		told: map[CommandID]*recordpb.ControlOutcome{}, lost: map[CommandID]bool{}, now: time.Unix(1000, 0),
+		told: map[RequestID]*recordpb.ControlOutcome{}, lost: map[RequestID]bool{}, now: time.Unix(1000, 0),
 	}
 	for i := range n {
 		m := journal.NewMember(fmt.Sprintf("v%d", i), 1)
@@ -53,9 +53,9 @@
 
 func (c *council) lead(m journal.Member) int {
 	c.round++
-	l := &Leader{Self: m, Incarnation: c.round, Voters: c.voters, Replica: c.replicas[m], Places: testPlaces, CompactAfter: 20}
+	l := &Leader{Self: m, Incarnation: c.round, Voters: c.voters, Replica: c.replicas[m], FailureDomains: testPlaces, CompactAfter: 20}
 	c.leaders = append(c.leaders, l)
-	c.step(len(c.leaders)-1, Start{Round: c.round})
+	c.step(len(c.leaders)-1, Campaign{Round: c.round})
 	return len(c.leaders) - 1
 }
 
@@ -64,14 +64,14 @@
 		switch a := a.(type) {
 		case Send:
 			c.queue = append(c.queue, func() { c.carry(i, a) })
-		case Tell:
+		case Respond:
 			c.told[a.ID] = a.Outcome
 		case Publish:
 			if a.Document.GetVersion() > c.doc.GetVersion() {
 				c.doc = a.Document
 			}
-		case Deposed:
-			for _, id := range a.Waiting {
+		case LeadershipLost:
+			for _, id := range a.Pending {
 				c.lost[id] = true
 			}
 		}
@@ -81,11 +81,11 @@
 func (c *council) carry(i int, a Send) {
 	r := c.replicas[a.To]
 	if r == nil || c.down[a.To.Instance()] || c.down[c.leaders[i].Self.Instance()] && a.To.Instance() != c.leaders[i].Self.Instance() {
-		c.step(i, Lost{To: a.To})
+		c.step(i, SendFailed{To: a.To})
 		return
 	}
 	reply, _ := r.Handle(a.Message)
-	c.queue = append(c.queue, func() { c.step(i, Replied{From: a.To, Reply: reply}) })
+	c.queue = append(c.queue, func() { c.step(i, ReplyReceived{From: a.To, Reply: reply}) })
 }
 
 func (c *council) drain() {
@@ -96,11 +96,11 @@
 	}
 }
 
-func (c *council) ask(i int, id CommandID, command string, expected uint64, cmd *configpb.Command) {
-	c.step(i, Asked{ID: id, Operator: "op", Apply: &operatorpb.ApplyRequest{CommandId: command, ExpectedVersion: expected, Command: cmd}})
+func (c *council) ask(i int, id RequestID, command string, expected uint64, cmd *configpb.Command) {
+	c.step(i, CommandReceived{ID: id, Operator: "op", Request: &operatorpb.ApplyRequest{CommandId: command, ExpectedVersion: expected, Command: cmd}})
 }
 
-func (c *council) want(id CommandID, result recordpb.ControlOutcome_Result, version uint64) *recordpb.ControlOutcome {
+func (c *council) want(id RequestID, result recordpb.ControlOutcome_Result, version uint64) *recordpb.ControlOutcome {
 	c.t.Helper()
 	out := c.told[id]
 	if out.GetResult() != result || out.GetVersion() != version {
@@ -176,15 +176,15 @@
 	}
 	next := c.lead(c.voters[1])
 	c.drain()
-	for i := range CommandID(300) {
+	for i := range RequestID(300) {
 		c.ask(next, 10+i, fmt.Sprintf("c%d", i), 0, putModel("m"))
 		c.drain()
 	}
 	c.want(309, recordpb.ControlOutcome_RESULT_ACCEPTED, 300)
 	c.down["v0"] = false
-	c.step(old, Ticked{})
+	c.step(old, Tick{})
 	c.drain()
-	if !c.lost[1] || c.leaders[old].Serves() {
+	if !c.lost[1] || c.leaders[old].AcceptsCommands() {
 		t.Fatal("the old leader went on after hundreds of changes had passed it by")
 	}
 	back := c.lead(c.voters[0])
@@ -205,10 +205,10 @@
 	c.replicas[fresh] = &journal.Replica{}
 	c.down["v2"] = false
 	delete(c.replicas, c.voters[2])
-	c.step(l, Replacing{New: fresh, Old: c.voters[2]})
+	c.step(l, ReplaceVoter{New: fresh, Old: c.voters[2]})
 	for range 6 {
 		c.drain()
-		c.step(l, Ticked{})
+		c.step(l, Tick{})
 	}
 	c.drain()
 	if m := c.leaders[l].Writer().Members(); len(m) != 3 || !m.Contains(fresh) {
@@ -224,7 +224,7 @@
 	c := newCouncil(t, 3)
 	l := c.lead(c.voters[0])
 	c.drain()
-	for i := range CommandID(50) {
+	for i := range RequestID(50) {
 		c.ask(l, i+1, fmt.Sprintf("c%d", i), 0, putModel("m"))
 		c.drain()
 	}
@@ -277,12 +277,12 @@
 		c.ask(0, 5000, "first", 0, putModel("m"))
 		c.drain()
 		type asked struct {
-			id       CommandID
+			id       RequestID
 			expected uint64
 			at       int64
 		}
 		var all []asked
-		events := map[CommandID]int64{}
+		events := map[RequestID]int64{}
 		clock := int64(0)
 		for n := range 120 {
 			clock++
@@ -292,7 +292,7 @@
 			case x == 1 && n < 100:
 				c.lead(c.voters[r.IntN(3)])
 			case x < 5:
-				id := CommandID(n + 1)
+				id := RequestID(n + 1)
 				a := asked{id, c.doc.GetVersion() + uint64(r.IntN(5)/4), clock}
 				all = append(all, a)
 				c.ask(r.IntN(len(c.leaders)), id, fmt.Sprintf("c%d", n), a.expected, putModel("m"))
@@ -304,7 +304,7 @@
 					f()
 				}
 				for i := range c.leaders {
-					c.step(i, Ticked{})
+					c.step(i, Tick{})
 				}
 			}
 			for id := range c.told {
--- a/rockbarrow/control/snapshot.go
+++ b/rockbarrow/control/snapshot.go
@@ -144,11 +144,11 @@
 	return e, ok
 }
 
-// Engines returns the endpoints that serve a model.
-func (s *Snapshot) Engines(model string) []*configpb.Endpoint { return s.byModel[model] }
+// ModelEndpoints returns the endpoints that serve a model.
+func (s *Snapshot) ModelEndpoints(model string) []*configpb.Endpoint { return s.byModel[model] }
 
-// Services returns the endpoints of a plain service.
-func (s *Snapshot) Services(service string) []*configpb.Endpoint { return s.byService[service] }
+// ServiceEndpoints returns the endpoints of a plain service.
+func (s *Snapshot) ServiceEndpoints(service string) []*configpb.Endpoint { return s.byService[service] }
 
 // Withdrawn returns whether an instance or a failure domain is drained or
 // fenced.
--- a/rockbarrow/control/state.go
+++ b/rockbarrow/control/state.go
@@ -42,9 +42,9 @@
 // Audit returns the kept audit trail, oldest first.
 func (s *State) Audit() []*recordpb.AuditRecord { return s.audit }
 
-// Decide gives a command its outcome under the present state. It changes
+// Evaluate gives a command its outcome under the present state. It changes
 // nothing.
-func (s *State) Decide(id string, expected uint64, c *configpb.Command, places []Place) *recordpb.ControlOutcome {
+func (s *State) Evaluate(id string, expected uint64, c *configpb.Command, places []FailureDomain) *recordpb.ControlOutcome {
 	digest := CommandDigest(c)
 	if old := s.byID[id]; old != nil {
 		if string(old.GetCommandDigest()) == string(digest) {
@@ -58,7 +58,7 @@
 		out.Winner = s.winner(expected + 1)
 		return out
 	}
-	next, missing := Edit(s.Document(), c)
+	next, missing := ApplyCommand(s.Document(), c)
 	for _, name := range missing {
 		out.Violations = append(out.Violations, &recordpb.Violation{Field: "remove[" + name + "]", Description: "no such object"})
 	}
@@ -103,7 +103,7 @@
 	}
 	from := s.Document().GetVersion()
 	if out.GetResult() == recordpb.ControlOutcome_RESULT_ACCEPTED && out.GetVersion() == from+1 {
-		s.doc, _ = Edit(s.Document(), r.GetCommand())
+		s.doc, _ = ApplyCommand(s.Document(), r.GetCommand())
 	}
 	s.remember(out)
 	s.trail(index, r, from)
--- a/rockbarrow/control/validate.go
+++ b/rockbarrow/control/validate.go
@@ -14,17 +14,17 @@
 // MaxCallsLimit is the most calls that a program may allow one run.
 const MaxCallsLimit = 4096
 
-// Place is what the settings say of a failure domain.
-type Place struct {
+// FailureDomain is what the settings say of a failure domain.
+type FailureDomain struct {
 	domain    string
 	instances int
 	disks     int
 }
 
-// NewPlace returns a failure domain with its numbers of instances and of those
+// NewFailureDomain returns a failure domain with its numbers of instances and of those
 // with a disk.
-func NewPlace(domain string, instances, disks int) Place {
-	return Place{domain: domain, instances: instances, disks: disks}
+func NewFailureDomain(domain string, instances, disks int) FailureDomain {
+	return FailureDomain{domain: domain, instances: instances, disks: disks}
 }
 
 var nameForm = regexp.MustCompile(`^[a-z0-9][a-z0-9._-]{0,62}$`)
@@ -32,13 +32,13 @@
 // validator collects what is wrong with a document.
 type validator struct {
 	snapshot *Snapshot
-	places   map[string]Place
+	places   map[string]FailureDomain
 	found    []*recordpb.Violation
 }
 
 // Validate returns what is wrong with a whole document, by field paths.
-func Validate(doc *configpb.Document, places []Place) []*recordpb.Violation {
-	v := &validator{snapshot: NewSnapshot(doc), places: map[string]Place{}}
+func Validate(doc *configpb.Document, places []FailureDomain) []*recordpb.Violation {
+	v := &validator{snapshot: NewSnapshot(doc), places: map[string]FailureDomain{}}
 	for _, p := range places {
 		v.places[p.domain] = p
 	}
--- a/rockbarrow/daemon/daemon.go
+++ b/rockbarrow/daemon/daemon.go
@@ -281,8 +281,8 @@
 }
 
 // places counts the instances and disks of each failure domain.
-func places(peers []roster.Peer) []control.Place {
-	var out []control.Place
+func places(peers []roster.Peer) []control.FailureDomain {
+	var out []control.FailureDomain
 	for _, domain := range domains(peers) {
 		instances, disks := 0, 0
 		for _, p := range peers {
@@ -294,7 +294,7 @@
 				disks++
 			}
 		}
-		out = append(out, control.NewPlace(domain, instances, disks))
+		out = append(out, control.NewFailureDomain(domain, instances, disks))
 	}
 	return out
 }
