--- a/rockbarrow/control/bench_test.go
+++ b/rockbarrow/control/bench_test.go
@@ -11,10 +11,11 @@
 	"rockbarrow.dev/schema/configpb"
 )
 
-// sizedDocument has as many objects as a share of the letter's size.
-func sizedDocument(share int) *configpb.Document {
+// sizedDocument returns a document with a percentage of the objects of the largest
+// expected configuration.
+func sizedDocument(percent int) *configpb.Document {
 	doc := &configpb.Document{Version: 9}
-	n := func(whole int) int { return max(1, whole*share/100) }
+	n := func(full int) int { return max(1, full*percent/100) }
 	for i := range n(250) {
 		doc.Customers = append(doc.Customers, &configpb.Customer{Name: fmt.Sprintf("customer-%d", i), KeyHashes: []string{HashKey(fmt.Sprint(i))}})
 		doc.Programs = append(doc.Programs, &configpb.Program{Name: fmt.Sprintf("program-%d", i), Customer: fmt.Sprintf("customer-%d", i), Model: "model-0", Binding: "binding-0", BudgetTokens: 100_000})
@@ -31,12 +32,12 @@
 	return doc
 }
 
-// BenchmarkSnapshot measures bringing one version into force, and reports the
-// document's size.
+// BenchmarkSnapshot measures indexing a document and reports the encoded
+// document size.
 func BenchmarkSnapshot(b *testing.B) {
-	for _, share := range []int{10, 50, 100} {
-		b.Run(fmt.Sprintf("share=%d%%", share), func(b *testing.B) {
-			doc := sizedDocument(share)
+	for _, percent := range []int{10, 50, 100} {
+		b.Run(fmt.Sprintf("share=%d%%", percent), func(b *testing.B) {
+			doc := sizedDocument(percent)
 			b.ReportAllocs()
 			for b.Loop() {
 				NewSnapshot(doc)
@@ -46,17 +47,17 @@
 	}
 }
 
-// BenchmarkValidate measures judging a whole document at the leader.
+// BenchmarkValidate measures the validation of a whole document.
 func BenchmarkValidate(b *testing.B) {
 	doc := sizedDocument(100)
-	var places []FailureDomain
+	var domains []FailureDomain
 	for i := range 8 {
-		places = append(places, NewFailureDomain(fmt.Sprintf("domain-%d", i), 49, 2))
+		domains = append(domains, NewFailureDomain(fmt.Sprintf("domain-%d", i), 49, 2))
 	}
-	if found := Validate(doc, places); len(found) > 0 {
-		b.Fatal(found[0])
+	if violations := Validate(doc, domains); len(violations) > 0 {
+		b.Fatal(violations[0])
 	}
 	for b.Loop() {
-		Validate(doc, places)
+		Validate(doc, domains)
 	}
 }
--- a/rockbarrow/control/doc.go
+++ b/rockbarrow/control/doc.go
@@ -1,20 +1,19 @@
 // SPDX-License-Identifier: MIT
 
-// Package control decides and indexes the configuration.
+// Package control decides on changes of the configuration and indexes it.
 //
-// # Deciding
+// # Commands
 //
-// Operators send commands. A [Leader] writes the control journal; it gives each
-// command one outcome, stores it, and answers a resend of the same command id
-// with the first outcome. A command names the version that its operator saw; of
-// two that name the same version one is accepted and the other learns of the
-// winner.
+// Operators send commands to a [Leader], which writes the control journal. The
+// leader stores one outcome per command id and returns it again if the command
+// is resent. A command may name the version that it was based on. Of several
+// commands based on the same version, one is accepted and the others get a
+// conflict that names the accepted one.
 //
-// # Using
+// # Snapshots
 //
-// Every instance keeps a [Snapshot], an index of one whole version. It never
-// changes and is swapped by an atomic pointer, so that a request reads it
-// without a lock:
+// Every instance holds a [Snapshot], an immutable index of one version. It is
+// replaced through an atomic pointer, so that requests read it without a lock:
 //
 //	s := control.NewSnapshot(doc)
 //	p, ok := s.Program("coach")
--- a/rockbarrow/control/edit.go
+++ b/rockbarrow/control/edit.go
@@ -8,14 +8,15 @@
 	"rockbarrow.dev/schema/configpb"
 )
 
-// named is any object of the document.
+// named is an object of the document that is identified by its name.
 type named interface {
 	proto.Message
 	GetName() string
 }
 
-// put replaces the object of the same name or appends it.
-func put[T named](list []T, v T) []T {
+// putByName returns a copy of the list in which an object replaces the one of
+// the same name, or is appended.
+func putByName[T named](list []T, v T) []T {
 	out := append([]T(nil), list...)
 	for i, o := range out {
 		if o.GetName() == v.GetName() {
@@ -26,7 +27,7 @@
 	return append(out, v)
 }
 
-func drop[T named](list []T, name string) ([]T, bool) {
+func removeByName[T named](list []T, name string) ([]T, bool) {
 	var out []T
 	for _, o := range list {
 		if o.GetName() != name {
@@ -36,9 +37,9 @@
 	return out, len(out) < len(list)
 }
 
-// ApplyCommand returns the document after a command, without judging it. The given
-// document stays as it is; objects are shared. Names of removed objects that
-// were not there are returned.
+// ApplyCommand returns the document after a command, without validating it, and
+// the names of objects to remove that do not exist. The given document is not
+// modified; the result shares its objects.
 func ApplyCommand(doc *configpb.Document, c *configpb.Command) (*configpb.Document, []string) {
 	out := &configpb.Document{
 		Version:     doc.GetVersion() + 1,
@@ -52,27 +53,27 @@
 	}
 	var missing []string
 	for _, ch := range c.GetChanges() {
-		if !editOne(out, ch) {
+		if !applyChange(out, ch) {
 			missing = append(missing, ch.GetRemove().GetName())
 		}
 	}
 	return out, missing
 }
 
-func editOne(doc *configpb.Document, ch *configpb.Change) bool {
+func applyChange(doc *configpb.Document, ch *configpb.Change) bool {
 	switch e := ch.GetEdit().(type) {
 	case *configpb.Change_PutCustomer:
-		doc.Customers = put(doc.Customers, e.PutCustomer)
+		doc.Customers = putByName(doc.Customers, e.PutCustomer)
 	case *configpb.Change_PutModel:
-		doc.Models = put(doc.Models, e.PutModel)
+		doc.Models = putByName(doc.Models, e.PutModel)
 	case *configpb.Change_PutEndpoint:
-		doc.Endpoints = put(doc.Endpoints, e.PutEndpoint)
+		doc.Endpoints = putByName(doc.Endpoints, e.PutEndpoint)
 	case *configpb.Change_PutProgram:
-		doc.Programs = put(doc.Programs, e.PutProgram)
+		doc.Programs = putByName(doc.Programs, e.PutProgram)
 	case *configpb.Change_PutService:
-		doc.Services = put(doc.Services, e.PutService)
+		doc.Services = putByName(doc.Services, e.PutService)
 	case *configpb.Change_PutBinding:
-		doc.Bindings = put(doc.Bindings, e.PutBinding)
+		doc.Bindings = putByName(doc.Bindings, e.PutBinding)
 	case *configpb.Change_PutWithdrawal:
 		doc.Withdrawals = putWithdrawal(doc.Withdrawals, e.PutWithdrawal)
 	case *configpb.Change_Remove:
@@ -82,11 +83,11 @@
 }
 
 func putWithdrawal(list []*configpb.Withdrawal, w *configpb.Withdrawal) []*configpb.Withdrawal {
-	out, _ := dropWithdrawal(list, w.GetSubject())
+	out, _ := removeWithdrawal(list, w.GetSubject())
 	return append(out, w)
 }
 
-func dropWithdrawal(list []*configpb.Withdrawal, subject string) ([]*configpb.Withdrawal, bool) {
+func removeWithdrawal(list []*configpb.Withdrawal, subject string) ([]*configpb.Withdrawal, bool) {
 	var out []*configpb.Withdrawal
 	for _, o := range list {
 		if o.GetSubject() != subject {
@@ -99,19 +100,19 @@
 func remove(doc *configpb.Document, r *configpb.Removal) (ok bool) {
 	switch r.GetKind() {
 	case configpb.Removal_KIND_CUSTOMER:
-		doc.Customers, ok = drop(doc.Customers, r.GetName())
+		doc.Customers, ok = removeByName(doc.Customers, r.GetName())
 	case configpb.Removal_KIND_MODEL:
-		doc.Models, ok = drop(doc.Models, r.GetName())
+		doc.Models, ok = removeByName(doc.Models, r.GetName())
 	case configpb.Removal_KIND_ENDPOINT:
-		doc.Endpoints, ok = drop(doc.Endpoints, r.GetName())
+		doc.Endpoints, ok = removeByName(doc.Endpoints, r.GetName())
 	case configpb.Removal_KIND_PROGRAM:
-		doc.Programs, ok = drop(doc.Programs, r.GetName())
+		doc.Programs, ok = removeByName(doc.Programs, r.GetName())
 	case configpb.Removal_KIND_SERVICE:
-		doc.Services, ok = drop(doc.Services, r.GetName())
+		doc.Services, ok = removeByName(doc.Services, r.GetName())
 	case configpb.Removal_KIND_BINDING:
-		doc.Bindings, ok = drop(doc.Bindings, r.GetName())
+		doc.Bindings, ok = removeByName(doc.Bindings, r.GetName())
 	case configpb.Removal_KIND_WITHDRAWAL:
-		doc.Withdrawals, ok = dropWithdrawal(doc.Withdrawals, r.GetName())
+		doc.Withdrawals, ok = removeWithdrawal(doc.Withdrawals, r.GetName())
 	}
 	return ok
 }
--- a/rockbarrow/control/errors.go
+++ b/rockbarrow/control/errors.go
@@ -2,13 +2,13 @@
 
 package control
 
-// SnapshotError says that a snapshot of the control journal does not decode.
+// SnapshotError reports a snapshot of the control journal that cannot be decoded.
 type SnapshotError struct {
 	// Cause is the decoder's error.
 	Cause error
 }
 
-// Error describes the cause.
+// Error implements the error interface.
 func (e *SnapshotError) Error() string { return "control: snapshot: " + e.Cause.Error() }
 
 // Unwrap returns the cause.
--- a/rockbarrow/control/leader.go
+++ b/rockbarrow/control/leader.go
@@ -13,13 +13,13 @@
 	"rockbarrow.dev/schema/recordpb"
 )
 
-// RequestID is the host's number for one waiting operator.
+// RequestID identifies an operator's pending request within the process.
 type RequestID uint64
 
-// Event is what a [Leader] handles.
+// Event is an input of a [Leader].
 type Event interface{ event() }
 
-// Campaign starts an election in a round that this process never used.
+// Campaign starts an election in a round that this process has not used before.
 type Campaign struct{ Round uint64 }
 
 // ReplyReceived is a voter's reply to a [Send].
@@ -28,7 +28,7 @@
 	Reply journal.Reply
 }
 
-// SendFailed says that a [Send] got no reply.
+// SendFailed reports that a [Send] got no reply.
 type SendFailed struct{ To journal.Member }
 
 // CommandReceived is an operator's command.
@@ -38,10 +38,10 @@
 	Request  *operatorpb.ApplyRequest
 }
 
-// ReplaceVoter asks for another voter in the place of a lost one.
+// ReplaceVoter requests the replacement of a lost voter.
 type ReplaceVoter struct{ New, Old journal.Member }
 
-// Tick lets time pass.
+// Tick resends unanswered messages and continues a replacement of a voter.
 type Tick struct{}
 
 func (Campaign) event()        {}
@@ -51,26 +51,26 @@
 func (ReplaceVoter) event()    {}
 func (Tick) event()            {}
 
-// Action is what a [Leader] wants done.
+// Action is requested of the caller by a [Leader].
 type Action interface{ action() }
 
-// Send carries a journal message to a voter.
+// Send sends a journal message to a voter.
 type Send struct {
 	To      journal.Member
 	Message journal.Message
 }
 
-// Respond answers a waiting operator with a stored outcome.
+// Respond answers an operator's request.
 type Respond struct {
 	ID      RequestID
 	Outcome *recordpb.ControlOutcome
 }
 
-// Publish brings a version into force everywhere.
+// Publish distributes a new version to all instances.
 type Publish struct{ Document *configpb.Document }
 
-// LeadershipLost says that another leader was met. Commands still waiting have an
-// outcome that is not determined here.
+// LeadershipLost reports that another leader has taken over. The outcome of the
+// pending requests is undetermined.
 type LeadershipLost struct {
 	By      journal.Ballot
 	Pending []RequestID
@@ -81,47 +81,48 @@
 func (Publish) action()        {}
 func (LeadershipLost) action() {}
 
-// Leader writes the control journal. Set the exported fields before the first
-// event.
+// Leader writes the control journal. The exported fields must be set before the
+// first event.
 type Leader struct {
 	Self        journal.Member
 	Incarnation uint64
-	// Voters are the first members of an empty journal.
+	// Voters are the initial members of an empty journal.
 	Voters         journal.Members
 	Replica        *journal.Replica
 	FailureDomains []FailureDomain
-	// CompactAfter folds the journal once it holds this many entries.
+	// CompactAfter is the number of entries after which the journal is compacted;
+	// 0 means DefaultCompactAfter.
 	CompactAfter uint64
 
 	writer journal.Writer
 	state  State
-	// queue are commands not proposed yet; one is proposed at a time, so that
-	// each is decided under the state that it meets.
-	queue []CommandReceived
-	// proposed waits for its entry to commit.
+	// pending holds the commands not proposed yet. Only one is proposed at a time,
+	// so that each is evaluated against the state that it is applied to.
+	pending []CommandReceived
+	// proposed is the command whose entry is not committed yet.
 	proposed     *CommandReceived
 	appliedIndex uint64
-	// published is true once the leader has told what it took over.
-	published bool
-	replace   *ReplaceVoter
+	// initialPublished is set once the version found at the election is published.
+	initialPublished bool
+	replacement      *ReplaceVoter
 }
 
 // DefaultCompactAfter is the default of CompactAfter.
 const DefaultCompactAfter = 1024
 
-// State returns the folded journal.
+// State returns the state after the entries applied so far.
 func (l *Leader) State() *State { return &l.state }
 
-// AcceptsCommands reports whether commands are taken.
+// AcceptsCommands reports whether the leader was elected and processes commands.
 func (l *Leader) AcceptsCommands() bool { return l.writer.Serves() }
 
-// Writer returns the journal's writer, for status.
+// Writer returns the journal's writer for status reports.
 func (l *Leader) Writer() *journal.Writer { return &l.writer }
 
-// AppliedIndex returns the journal index up to which the document is folded.
+// AppliedIndex returns the index of the last applied journal entry.
 func (l *Leader) AppliedIndex() uint64 { return l.appliedIndex }
 
-// Handle takes one event.
+// Handle processes an event and returns the resulting actions.
 func (l *Leader) Handle(now time.Time, e Event) []Action {
 	switch e := e.(type) {
 	case Campaign:
@@ -129,42 +130,42 @@
 		if l.Replica != nil {
 			l.writer.Restore(l.Replica)
 		}
-		return l.journal(now, journal.Campaign{Round: e.Round})
+		return l.stepWriter(now, journal.Campaign{Round: e.Round})
 	case ReplyReceived:
-		return l.journal(now, journal.Replied{From: e.From, Reply: e.Reply})
+		return l.stepWriter(now, journal.Replied{From: e.From, Reply: e.Reply})
 	case SendFailed:
-		return l.journal(now, journal.NoReply{To: e.To})
+		return l.stepWriter(now, journal.NoReply{To: e.To})
 	case CommandReceived:
-		return l.asked(now, e)
+		return l.handleCommand(now, e)
 	case ReplaceVoter:
-		l.replace = &e
-		return l.replaceStep(now)
+		l.replacement = &e
+		return l.continueReplacement(now)
 	case Tick:
-		return append(l.journal(now, journal.Resend{}), l.replaceStep(now)...)
+		return append(l.stepWriter(now, journal.Resend{}), l.continueReplacement(now)...)
 	}
 	return nil
 }
 
-func (l *Leader) asked(now time.Time, e CommandReceived) []Action {
+func (l *Leader) handleCommand(now time.Time, e CommandReceived) []Action {
 	if e.Request.GetDryRun() {
-		return []Action{Respond{ID: e.ID, Outcome: l.decide(e)}}
+		return []Action{Respond{ID: e.ID, Outcome: l.evaluate(e)}}
 	}
-	l.queue = append(l.queue, e)
+	l.pending = append(l.pending, e)
 	return l.proposeNext(now)
 }
 
-func (l *Leader) decide(e CommandReceived) *recordpb.ControlOutcome {
+func (l *Leader) evaluate(e CommandReceived) *recordpb.ControlOutcome {
 	a := e.Request
 	return l.state.Evaluate(a.GetCommandId(), a.GetExpectedVersion(), a.GetCommand(), l.FailureDomains)
 }
 
-// proposeNext decides waiting commands until one needs an entry.
+// proposeNext evaluates pending commands until one requires a journal entry.
 func (l *Leader) proposeNext(now time.Time) []Action {
 	var out []Action
-	for l.proposed == nil && l.writer.Serves() && len(l.queue) > 0 {
-		e := l.queue[0]
-		l.queue = l.queue[1:]
-		outcome := l.decide(e)
+	for l.proposed == nil && l.writer.Serves() && len(l.pending) > 0 {
+		e := l.pending[0]
+		l.pending = l.pending[1:]
+		outcome := l.evaluate(e)
 		known := l.state.Outcome(e.Request.GetCommandId()) != nil
 		if known || outcome.GetResult() == recordpb.ControlOutcome_RESULT_REUSED_ID {
 			out = append(out, Respond{ID: e.ID, Outcome: outcome})
@@ -190,40 +191,41 @@
 		l.proposed = nil
 		return nil
 	}
-	return l.journal(now, journal.Propose{Payload: payload})
+	return l.stepWriter(now, journal.Propose{Payload: payload})
 }
 
-func (l *Leader) journal(now time.Time, e journal.Event) []Action {
+func (l *Leader) stepWriter(now time.Time, e journal.Event) []Action {
 	var out []Action
 	for _, a := range l.writer.Handle(e) {
 		switch a := a.(type) {
 		case journal.Send:
 			out = append(out, Send{To: a.To, Message: a.Message})
 		case journal.Serving:
-			l.restore()
+			l.restoreState()
 		case journal.Committed:
-			out = append(out, l.committed(now, a.Entries)...)
+			out = append(out, l.applyCommitted(now, a.Entries)...)
 		case journal.Superseded:
-			out = append(out, l.deposed(a.By))
+			out = append(out, l.failPending(a.By))
 		}
 	}
 	return out
 }
 
-// restore starts the fold from the journal's base.
-func (l *Leader) restore() {
+// restoreState loads the state from the journal's base.
+func (l *Leader) restoreState() {
 	base := l.writer.Log().Base()
 	l.state = State{}
 	l.appliedIndex = base.Index()
 	if base.State() != nil {
 		if err := l.state.Restore(base.State()); err != nil {
-			// The base's digest chain was checked; only a foreign build writes this.
+			// The digest chain of the base is verified, so only an incompatible build
+			// can have written it.
 			l.state = State{}
 		}
 	}
 }
 
-func (l *Leader) committed(now time.Time, entries []journal.Entry) []Action {
+func (l *Leader) applyCommitted(now time.Time, entries []journal.Entry) []Action {
 	var out []Action
 	before := l.state.Document().GetVersion()
 	for _, e := range entries {
@@ -234,23 +236,23 @@
 			l.proposed = nil
 		}
 	}
-	if doc := l.state.Document(); doc.GetVersion() > before || !l.published {
-		l.published = true
+	if doc := l.state.Document(); doc.GetVersion() > before || !l.initialPublished {
+		l.initialPublished = true
 		out = append([]Action{Publish{Document: doc}}, out...)
 	}
 	l.compact()
 	return append(out, l.proposeNext(now)...)
 }
 
-// ApplyEntry folds an entry of the control journal and returns its record; the
-// record is empty for a writer's own first entry.
+// ApplyEntry applies an entry of the control journal and returns its record,
+// which is empty for the first entry of a new writer.
 func ApplyEntry(s *State, e journal.Entry) *recordpb.ControlRecord {
 	r := &recordpb.ControlRecord{}
 	if e.Payload() == nil {
 		return r
 	}
 	if err := proto.Unmarshal(e.Payload(), r); err != nil {
-		// Only another build writes this; every voter skips it alike.
+		// Written by an incompatible build; all voters skip it.
 		return &recordpb.ControlRecord{}
 	}
 	s.Apply(e.Index(), r)
@@ -271,33 +273,33 @@
 	}
 }
 
-func (l *Leader) deposed(by journal.Ballot) Action {
+func (l *Leader) failPending(by journal.Ballot) Action {
 	d := LeadershipLost{By: by}
 	if l.proposed != nil {
 		d.Pending = append(d.Pending, l.proposed.ID)
 	}
-	for _, q := range l.queue {
-		d.Pending = append(d.Pending, q.ID)
+	for _, c := range l.pending {
+		d.Pending = append(d.Pending, c.ID)
 	}
 	l.proposed = nil
-	l.queue = nil
+	l.pending = nil
 	return d
 }
 
-// replaceStep first admits the new voter, which copies the journal before it
-// counts, and then dismisses the old one.
-func (l *Leader) replaceStep(now time.Time) []Action {
-	r := l.replace
+// continueReplacement first admits the new voter, which copies the journal before
+// its vote counts, and then dismisses the old one.
+func (l *Leader) continueReplacement(now time.Time) []Action {
+	r := l.replacement
 	if r == nil || !l.writer.Serves() || l.writer.ChangingMembers() {
 		return nil
 	}
 	members := l.writer.Members()
 	if !members.Contains(r.New) {
-		return l.journal(now, journal.AddMember{Member: r.New})
+		return l.stepWriter(now, journal.AddMember{Member: r.New})
 	}
 	if members.Contains(r.Old) {
-		return l.journal(now, journal.RemoveMember{Member: r.Old})
+		return l.stepWriter(now, journal.RemoveMember{Member: r.Old})
 	}
-	l.replace = nil
+	l.replacement = nil
 	return nil
 }
--- a/rockbarrow/control/leader_test.go
+++ b/rockbarrow/control/leader_test.go
@@ -17,31 +17,31 @@
 	"rockbarrow.dev/schema/recordpb"
 )
 
-var testPlaces = []FailureDomain{NewFailureDomain("east", 3, 1), NewFailureDomain("west", 2, 0)}
+var testDomains = []FailureDomain{NewFailureDomain("east", 3, 1), NewFailureDomain("west", 2, 0)}
 
 func putModel(name string) *configpb.Command {
 	return &configpb.Command{Changes: []*configpb.Change{{Edit: &configpb.Change_PutModel{PutModel: &configpb.Model{Name: name}}}}}
 }
 
-// council is a few voters and leaders with all messages in the test's hands.
-type council struct {
-	t        testing.TB
-	voters   journal.Members
-	replicas map[journal.Member]*journal.Replica
-	leaders  []*Leader
-	queue    []func()
-	down     map[string]bool
-	told     map[RequestID]*recordpb.ControlOutcome
-	lost     map[RequestID]bool
-	doc      *configpb.Document
-	round    uint64
-	now      time.Time
+// cluster runs voters and leaders and lets the test control message delivery.
+type cluster struct {
+	t            testing.TB
+	voters       journal.Members
+	replicas     map[journal.Member]*journal.Replica
+	leaders      []*Leader
+	queue        []func()
+	down         map[string]bool
+	outcomes     map[RequestID]*recordpb.ControlOutcome
+	undetermined map[RequestID]bool
+	doc          *configpb.Document
+	round        uint64
+	now          time.Time
 }
 
-func newCouncil(t testing.TB, n int) *council {
-	c := &council{
+func newCluster(t testing.TB, n int) *cluster {
+	c := &cluster{
 		t: t, replicas: map[journal.Member]*journal.Replica{}, down: map[string]bool{},
-		told: map[RequestID]*recordpb.ControlOutcome{}, lost: map[RequestID]bool{}, now: time.Unix(1000, 0),
+		outcomes: map[RequestID]*recordpb.ControlOutcome{}, undetermined: map[RequestID]bool{}, now: time.Unix(1000, 0),
 	}
 	for i := range n {
 		m := journal.NewMember(fmt.Sprintf("v%d", i), 1)
@@ -51,34 +51,34 @@
 	return c
 }
 
-func (c *council) lead(m journal.Member) int {
+func (c *cluster) startLeader(m journal.Member) int {
 	c.round++
-	l := &Leader{Self: m, Incarnation: c.round, Voters: c.voters, Replica: c.replicas[m], FailureDomains: testPlaces, CompactAfter: 20}
+	l := &Leader{Self: m, Incarnation: c.round, Voters: c.voters, Replica: c.replicas[m], FailureDomains: testDomains, CompactAfter: 20}
 	c.leaders = append(c.leaders, l)
 	c.step(len(c.leaders)-1, Campaign{Round: c.round})
 	return len(c.leaders) - 1
 }
 
-func (c *council) step(i int, e Event) {
+func (c *cluster) step(i int, e Event) {
 	for _, a := range c.leaders[i].Handle(c.now, e) {
 		switch a := a.(type) {
 		case Send:
-			c.queue = append(c.queue, func() { c.carry(i, a) })
+			c.queue = append(c.queue, func() { c.deliver(i, a) })
 		case Respond:
-			c.told[a.ID] = a.Outcome
+			c.outcomes[a.ID] = a.Outcome
 		case Publish:
 			if a.Document.GetVersion() > c.doc.GetVersion() {
 				c.doc = a.Document
 			}
 		case LeadershipLost:
 			for _, id := range a.Pending {
-				c.lost[id] = true
+				c.undetermined[id] = true
 			}
 		}
 	}
 }
 
-func (c *council) carry(i int, a Send) {
+func (c *cluster) deliver(i int, a Send) {
 	r := c.replicas[a.To]
 	if r == nil || c.down[a.To.Instance()] || c.down[c.leaders[i].Self.Instance()] && a.To.Instance() != c.leaders[i].Self.Instance() {
 		c.step(i, SendFailed{To: a.To})
@@ -88,7 +88,7 @@
 	c.queue = append(c.queue, func() { c.step(i, ReplyReceived{From: a.To, Reply: reply}) })
 }
 
-func (c *council) drain() {
+func (c *cluster) drain() {
 	for n := 0; len(c.queue) > 0 && n < 10_000; n++ {
 		f := c.queue[0]
 		c.queue = c.queue[1:]
@@ -96,165 +96,167 @@
 	}
 }
 
-func (c *council) ask(i int, id RequestID, command string, expected uint64, cmd *configpb.Command) {
+func (c *cluster) send(i int, id RequestID, command string, expected uint64, cmd *configpb.Command) {
 	c.step(i, CommandReceived{ID: id, Operator: "op", Request: &operatorpb.ApplyRequest{CommandId: command, ExpectedVersion: expected, Command: cmd}})
 }
 
-func (c *council) want(id RequestID, result recordpb.ControlOutcome_Result, version uint64) *recordpb.ControlOutcome {
+func (c *cluster) wantOutcome(id RequestID, result recordpb.ControlOutcome_Result, version uint64) *recordpb.ControlOutcome {
 	c.t.Helper()
-	out := c.told[id]
+	out := c.outcomes[id]
 	if out.GetResult() != result || out.GetVersion() != version {
-		c.t.Fatalf("command %d came to %v, want %v at version %d", id, out, result, version)
+		c.t.Fatalf("outcome of command %d: %v, want %v at version %d", id, out, result, version)
 	}
 	return out
 }
 
 func TestTwoOperatorsRaceUnderOneVersion(t *testing.T) {
-	c := newCouncil(t, 3)
-	l := c.lead(c.voters[0])
+	c := newCluster(t, 3)
+	l := c.startLeader(c.voters[0])
 	c.drain()
-	c.ask(l, 1, "first", 0, putModel("a"))
+	c.send(l, 1, "first", 0, putModel("a"))
 	c.drain()
-	c.ask(l, 2, "left", 1, putModel("b"))
-	c.ask(l, 3, "right", 1, putModel("c"))
+	c.send(l, 2, "left", 1, putModel("b"))
+	c.send(l, 3, "right", 1, putModel("c"))
 	c.drain()
-	c.want(2, recordpb.ControlOutcome_RESULT_ACCEPTED, 2)
-	if out := c.want(3, recordpb.ControlOutcome_RESULT_CONFLICT, 2); out.GetWinner() != "left" {
-		t.Fatalf("the loser learned of %q, want left", out.GetWinner())
+	c.wantOutcome(2, recordpb.ControlOutcome_RESULT_ACCEPTED, 2)
+	if out := c.wantOutcome(3, recordpb.ControlOutcome_RESULT_CONFLICT, 2); out.GetWinner() != "left" {
+		t.Fatalf("the conflict names command %q, want left", out.GetWinner())
 	}
 }
 
-func TestResentCommandGetsItsFirstOutcome(t *testing.T) {
-	c := newCouncil(t, 3)
-	l := c.lead(c.voters[0])
+func TestResentCommandGetsFirstOutcome(t *testing.T) {
+	c := newCluster(t, 3)
+	l := c.startLeader(c.voters[0])
 	c.drain()
-	c.ask(l, 1, "x", 0, putModel("a"))
+	c.send(l, 1, "x", 0, putModel("a"))
 	c.drain()
-	c.ask(l, 2, "y", 0, putModel("b"))
+	c.send(l, 2, "y", 0, putModel("b"))
 	c.drain()
-	next := c.lead(c.voters[1])
+	next := c.startLeader(c.voters[1])
 	c.drain()
-	c.ask(next, 3, "x", 0, putModel("a"))
-	c.ask(next, 4, "x", 0, putModel("other"))
+	c.send(next, 3, "x", 0, putModel("a"))
+	c.send(next, 4, "x", 0, putModel("other"))
 	c.drain()
-	c.want(3, recordpb.ControlOutcome_RESULT_ACCEPTED, 1)
-	c.want(4, recordpb.ControlOutcome_RESULT_REUSED_ID, 2)
+	c.wantOutcome(3, recordpb.ControlOutcome_RESULT_ACCEPTED, 1)
+	c.wantOutcome(4, recordpb.ControlOutcome_RESULT_REUSED_ID, 2)
 }
 
-func TestInvalidCommandNamesItsFields(t *testing.T) {
-	c := newCouncil(t, 3)
-	l := c.lead(c.voters[0])
+func TestInvalidCommandListsFields(t *testing.T) {
+	c := newCluster(t, 3)
+	l := c.startLeader(c.voters[0])
 	c.drain()
 	bad := &configpb.Command{Changes: []*configpb.Change{
 		{Edit: &configpb.Change_PutBinding{PutBinding: &configpb.Binding{Name: "b", Domains: []string{"mars"}}}},
 		{Edit: &configpb.Change_PutProgram{PutProgram: &configpb.Program{Name: "p", Customer: "nobody", Model: "none", Binding: "b"}}},
 		{Edit: &configpb.Change_Remove{Remove: &configpb.Removal{Kind: configpb.Removal_KIND_MODEL, Name: "ghost"}}},
 	}}
-	c.ask(l, 1, "x", 0, bad)
+	c.send(l, 1, "x", 0, bad)
 	c.drain()
-	out := c.want(1, recordpb.ControlOutcome_RESULT_INVALID, 0)
+	out := c.wantOutcome(1, recordpb.ControlOutcome_RESULT_INVALID, 0)
 	found := map[string]bool{}
 	for _, v := range out.GetViolations() {
 		found[v.GetField()] = true
 	}
 	for _, field := range []string{"remove[ghost]", "bindings[b].domains[0]", "programs[p].customer", "programs[p].model", "programs[p].budget_tokens", "programs[p].binding"} {
 		if !found[field] {
-			t.Errorf("no violation of %s among %v", field, out.GetViolations())
+			t.Errorf("no violation of %s in %v", field, out.GetViolations())
 		}
 	}
 }
 
 func TestCutOffLeaderCannotAcceptAndLearnsNothingWrong(t *testing.T) {
-	c := newCouncil(t, 3)
-	old := c.lead(c.voters[0])
+	c := newCluster(t, 3)
+	old := c.startLeader(c.voters[0])
 	c.drain()
 	c.down["v0"] = true
-	c.ask(old, 1, "lost", 0, putModel("a"))
+	c.send(old, 1, "lost", 0, putModel("a"))
 	c.drain()
-	if c.told[1] != nil {
-		t.Fatalf("a leader without a majority answered %v", c.told[1])
+	if c.outcomes[1] != nil {
+		t.Fatalf("a leader without a majority answered %v", c.outcomes[1])
 	}
-	next := c.lead(c.voters[1])
+	next := c.startLeader(c.voters[1])
 	c.drain()
 	for i := range RequestID(300) {
-		c.ask(next, 10+i, fmt.Sprintf("c%d", i), 0, putModel("m"))
+		c.send(next, 10+i, fmt.Sprintf("c%d", i), 0, putModel("m"))
 		c.drain()
 	}
-	c.want(309, recordpb.ControlOutcome_RESULT_ACCEPTED, 300)
+	c.wantOutcome(309, recordpb.ControlOutcome_RESULT_ACCEPTED, 300)
 	c.down["v0"] = false
 	c.step(old, Tick{})
 	c.drain()
-	if !c.lost[1] || c.leaders[old].AcceptsCommands() {
-		t.Fatal("the old leader went on after hundreds of changes had passed it by")
+	if !c.undetermined[1] || c.leaders[old].AcceptsCommands() {
+		t.Fatal("the old leader did not step down after another leader took over")
 	}
-	back := c.lead(c.voters[0])
+	back := c.startLeader(c.voters[0])
 	c.drain()
 	if got := c.leaders[back].State().Document().GetVersion(); got != 300 {
-		t.Fatalf("version %d after the return, want 300", got)
+		t.Fatalf("version %d after the old leader's return, want 300", got)
 	}
 }
 
 func TestVoterLostRightAfterOneWasReplaced(t *testing.T) {
-	c := newCouncil(t, 3)
-	l := c.lead(c.voters[0])
+	c := newCluster(t, 3)
+	l := c.startLeader(c.voters[0])
 	c.drain()
-	c.ask(l, 1, "x", 0, putModel("a"))
+	c.send(l, 1, "x", 0, putModel("a"))
 	c.drain()
 	c.down["v2"] = true
-	fresh := journal.NewMember("v2", 2)
-	c.replicas[fresh] = &journal.Replica{}
+	replacement := journal.NewMember("v2", 2)
+	c.replicas[replacement] = &journal.Replica{}
 	c.down["v2"] = false
 	delete(c.replicas, c.voters[2])
-	c.step(l, ReplaceVoter{New: fresh, Old: c.voters[2]})
+	c.step(l, ReplaceVoter{New: replacement, Old: c.voters[2]})
 	for range 6 {
 		c.drain()
 		c.step(l, Tick{})
 	}
 	c.drain()
-	if m := c.leaders[l].Writer().Members(); len(m) != 3 || !m.Contains(fresh) {
-		t.Fatalf("voters %v, want v2's next life in the place of the lost one", m)
+	if m := c.leaders[l].Writer().Members(); len(m) != 3 || !m.Contains(replacement) {
+		t.Fatalf("voters %v, want the new incarnation of v2 in place of the lost one", m)
 	}
 	c.down["v1"] = true
-	c.ask(l, 2, "y", 0, putModel("b"))
+	c.send(l, 2, "y", 0, putModel("b"))
 	c.drain()
-	c.want(2, recordpb.ControlOutcome_RESULT_ACCEPTED, 2)
+	c.wantOutcome(2, recordpb.ControlOutcome_RESULT_ACCEPTED, 2)
 }
 
-func TestAuditTrailIsChainedAndSurvivesSnapshots(t *testing.T) {
-	c := newCouncil(t, 3)
-	l := c.lead(c.voters[0])
+func TestAuditTrailAcrossSnapshots(t *testing.T) {
+	c := newCluster(t, 3)
+	l := c.startLeader(c.voters[0])
 	c.drain()
 	for i := range RequestID(50) {
-		c.ask(l, i+1, fmt.Sprintf("c%d", i), 0, putModel("m"))
+		c.send(l, i+1, fmt.Sprintf("c%d", i), 0, putModel("m"))
 		c.drain()
 	}
-	next := c.lead(c.voters[2])
+	next := c.startLeader(c.voters[2])
 	c.drain()
 	trail := c.leaders[next].State().Audit()
 	if len(trail) != 50 {
-		t.Fatalf("%d lines, want 50", len(trail))
+		t.Fatalf("%d audit records, want 50", len(trail))
 	}
 	var prev []byte
-	for i, line := range trail {
-		if !bytes.Equal(AuditDigest(prev, line), line.GetDigest()) {
-			t.Fatalf("line %d does not chain", i)
+	for i, record := range trail {
+		if !bytes.Equal(AuditDigest(prev, record), record.GetDigest()) {
+			t.Fatalf("the digest of audit record %d does not match the preceding record", i)
 		}
-		prev = line.GetDigest()
+		prev = record.GetDigest()
 	}
 	if c.leaders[l].Writer().Log().Base().Index() == 0 {
-		t.Fatal("the journal was never folded")
+		t.Fatal("the journal was never compacted")
 	}
 }
 
-// register is the sequential model of the configuration's version.
+// registerInput is the expected version of a command.
 type registerInput struct{ expected uint64 }
 
+// registerOutput is the outcome of a command.
 type registerOutput struct {
 	accepted bool
 	version  uint64
 }
 
-var register = porcupine.Model{
+// versionRegister is the sequential model of the configuration's version.
+var versionRegister = porcupine.Model{
 	Init: func() any { return uint64(1) },
 	Step: func(state, input, output any) (bool, any) {
 		version, in, out := state.(uint64), input.(registerInput), output.(registerOutput)
@@ -265,24 +267,24 @@
 	},
 }
 
-// TestCommandsAreLinearizable lets two leaders duel under losses while operators
-// race, and holds what they were told against one sequential register.
+// TestCommandsAreLinearizable checks the outcomes of concurrent commands against a
+// sequential register while leaders compete and messages are lost.
 func TestCommandsAreLinearizable(t *testing.T) {
 	known, accepted := 0, 0
 	for seed := range uint64(150) {
 		r := rand.New(rand.NewPCG(seed, 9))
-		c := newCouncil(t, 3)
-		c.lead(c.voters[0])
+		c := newCluster(t, 3)
+		c.startLeader(c.voters[0])
 		c.drain()
-		c.ask(0, 5000, "first", 0, putModel("m"))
+		c.send(0, 5000, "first", 0, putModel("m"))
 		c.drain()
-		type asked struct {
+		type operation struct {
 			id       RequestID
 			expected uint64
 			at       int64
 		}
-		var all []asked
-		events := map[RequestID]int64{}
+		var all []operation
+		returnedAt := map[RequestID]int64{}
 		clock := int64(0)
 		for n := range 120 {
 			clock++
@@ -290,12 +292,12 @@
 			case x == 0:
 				c.down = map[string]bool{fmt.Sprintf("v%d", r.IntN(4)): true}
 			case x == 1 && n < 100:
-				c.lead(c.voters[r.IntN(3)])
+				c.startLeader(c.voters[r.IntN(3)])
 			case x < 5:
 				id := RequestID(n + 1)
-				a := asked{id, c.doc.GetVersion() + uint64(r.IntN(5)/4), clock}
+				a := operation{id, c.doc.GetVersion() + uint64(r.IntN(5)/4), clock}
 				all = append(all, a)
-				c.ask(r.IntN(len(c.leaders)), id, fmt.Sprintf("c%d", n), a.expected, putModel("m"))
+				c.send(r.IntN(len(c.leaders)), id, fmt.Sprintf("c%d", n), a.expected, putModel("m"))
 			default:
 				for k := r.IntN(8); k > 0 && len(c.queue) > 0; k-- {
 					i := r.IntN(min(3, len(c.queue)))
@@ -307,19 +309,19 @@
 					c.step(i, Tick{})
 				}
 			}
-			for id := range c.told {
-				if events[id] == 0 {
-					events[id] = clock
+			for id := range c.outcomes {
+				if returnedAt[id] == 0 {
+					returnedAt[id] = clock
 				}
 			}
 		}
-		// A leader that ends the duel tells what became of lost outcomes.
+		// A final leader knows the outcomes that were not delivered.
 		c.down = map[string]bool{}
-		last := c.lead(c.voters[0])
+		last := c.startLeader(c.voters[0])
 		c.drain()
 		var ops []porcupine.Operation
 		for _, a := range all {
-			out, end := c.told[a.id], events[a.id]
+			out, end := c.outcomes[a.id], returnedAt[a.id]
 			if end == 0 {
 				end = 1 << 40
 			}
@@ -330,20 +332,20 @@
 				continue
 			}
 			known++
-			yes := out.GetResult() == recordpb.ControlOutcome_RESULT_ACCEPTED
-			if yes {
+			ok := out.GetResult() == recordpb.ControlOutcome_RESULT_ACCEPTED
+			if ok {
 				accepted++
 			}
 			ops = append(ops, porcupine.Operation{
 				ClientId: int(a.id), Input: registerInput{a.expected}, Call: a.at,
-				Output: registerOutput{accepted: yes, version: out.GetVersion()}, Return: end,
+				Output: registerOutput{accepted: ok, version: out.GetVersion()}, Return: end,
 			})
 		}
-		if res := porcupine.CheckOperationsTimeout(register, ops, 20*time.Second); res != porcupine.Ok {
-			t.Fatalf("seed %d: the outcomes fit no order (%v)", seed, res)
+		if res := porcupine.CheckOperationsTimeout(versionRegister, ops, 20*time.Second); res != porcupine.Ok {
+			t.Fatalf("seed %d: the outcomes are not linearizable (%v)", seed, res)
 		}
 	}
 	if known < 500 || accepted < 200 {
-		t.Fatalf("only %d outcomes were told, %d accepted: there is too little to check", known, accepted)
+		t.Fatalf("only %d outcomes and %d accepted commands, too few for the check", known, accepted)
 	}
 }
--- a/rockbarrow/control/snapshot.go
+++ b/rockbarrow/control/snapshot.go
@@ -9,19 +9,20 @@
 	"rockbarrow.dev/schema/configpb"
 )
 
-// Binding is an indexed binding.
+// Binding is a binding with its allowed failure domains as a set.
 type Binding struct {
 	binding *configpb.Binding
 	domains map[string]bool
 }
 
-// Allows reports whether data may be processed in a failure domain.
+// Allows reports whether the binding allows data to be processed in a failure
+// domain.
 func (b Binding) Allows(domain string) bool { return b.domains[domain] }
 
-// Proto returns the binding as operators wrote it.
+// Proto returns the binding as configured.
 func (b Binding) Proto() *configpb.Binding { return b.binding }
 
-// Snapshot is one version of the configuration, indexed. It never changes.
+// Snapshot is an immutable index of one version of the configuration.
 type Snapshot struct {
 	doc       *configpb.Document
 	customers map[string]*configpb.Customer
@@ -36,7 +37,7 @@
 	withdrawn map[string]configpb.Withdrawal_Mode
 }
 
-// NewSnapshot indexes a document, which must not change afterwards.
+// NewSnapshot indexes a document, which must not be modified afterwards.
 func NewSnapshot(doc *configpb.Document) *Snapshot {
 	s := &Snapshot{
 		doc:       doc,
@@ -96,10 +97,10 @@
 	}
 }
 
-// Version returns the number of accepted commands.
+// Version returns the version, which is the number of accepted commands.
 func (s *Snapshot) Version() uint64 { return s.doc.GetVersion() }
 
-// Document returns the whole document; it must not be changed.
+// Document returns the document, which must not be modified.
 func (s *Snapshot) Document() *configpb.Document { return s.doc }
 
 // Customer returns a customer by name.
@@ -108,7 +109,7 @@
 	return c, ok
 }
 
-// CustomerOfKey returns the customer that a bearer key belongs to.
+// CustomerOfKey returns the customer that owns an API key.
 func (s *Snapshot) CustomerOfKey(key string) (*configpb.Customer, bool) {
 	c, ok := s.keys[HashKey(key)]
 	return c, ok
@@ -126,7 +127,7 @@
 	return p, ok
 }
 
-// Service returns a plain service by name.
+// Service returns a service by name.
 func (s *Snapshot) Service(name string) (*configpb.Service, bool) {
 	v, ok := s.services[name]
 	return v, ok
@@ -147,17 +148,17 @@
 // ModelEndpoints returns the endpoints that serve a model.
 func (s *Snapshot) ModelEndpoints(model string) []*configpb.Endpoint { return s.byModel[model] }
 
-// ServiceEndpoints returns the endpoints of a plain service.
+// ServiceEndpoints returns the endpoints of a service.
 func (s *Snapshot) ServiceEndpoints(service string) []*configpb.Endpoint { return s.byService[service] }
 
-// Withdrawn returns whether an instance or a failure domain is drained or
-// fenced.
+// Withdrawn returns the mode in which an instance or a failure domain is
+// withdrawn, if it is.
 func (s *Snapshot) Withdrawn(subject string) (configpb.Withdrawal_Mode, bool) {
 	m, ok := s.withdrawn[subject]
 	return m, ok
 }
 
-// HashKey returns how a bearer key is stored.
+// HashKey returns the hash under which an API key is stored.
 func HashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
--- a/rockbarrow/control/state.go
+++ b/rockbarrow/control/state.go
@@ -12,23 +12,23 @@
 )
 
 const (
-	// maxOutcomes bounds the stored outcomes, and so how late a resend may come:
-	// two months at 460 commands a day.
+	// maxOutcomes bounds the number of stored outcomes and thereby the period in
+	// which a resent command is recognized.
 	maxOutcomes = 32_768
-	// maxAudit bounds the lines of the audit trail that are kept.
-	maxAudit = 65_536
+	// maxAudit bounds the length of the audit trail.
+	maxAuditRecords = 65_536
 )
 
-// State is the fold of the control journal. The zero value is the empty
-// document.
+// State is the replicated state machine of the control journal. The zero value
+// holds an empty document.
 type State struct {
-	doc      *configpb.Document
-	outcomes []*recordpb.ControlOutcome
-	byID     map[string]*recordpb.ControlOutcome
-	audit    []*recordpb.AuditRecord
+	doc         *configpb.Document
+	outcomes    []*recordpb.ControlOutcome
+	outcomeByID map[string]*recordpb.ControlOutcome
+	audit       []*recordpb.AuditRecord
 }
 
-// Document returns the newest accepted version; it must not be changed.
+// Document returns the latest accepted version, which must not be modified.
 func (s *State) Document() *configpb.Document {
 	if s.doc == nil {
 		return &configpb.Document{}
@@ -36,17 +36,17 @@
 	return s.doc
 }
 
-// Outcome returns what a command came to, or nil.
-func (s *State) Outcome(commandID string) *recordpb.ControlOutcome { return s.byID[commandID] }
+// Outcome returns the stored outcome of a command, or nil.
+func (s *State) Outcome(commandID string) *recordpb.ControlOutcome { return s.outcomeByID[commandID] }
 
-// Audit returns the kept audit trail, oldest first.
+// Audit returns the audit trail, oldest record first.
 func (s *State) Audit() []*recordpb.AuditRecord { return s.audit }
 
-// Evaluate gives a command its outcome under the present state. It changes
-// nothing.
-func (s *State) Evaluate(id string, expected uint64, c *configpb.Command, places []FailureDomain) *recordpb.ControlOutcome {
+// Evaluate returns the outcome that a command would have in the current state,
+// which it does not modify.
+func (s *State) Evaluate(id string, expected uint64, c *configpb.Command, domains []FailureDomain) *recordpb.ControlOutcome {
 	digest := CommandDigest(c)
-	if old := s.byID[id]; old != nil {
+	if old := s.outcomeByID[id]; old != nil {
 		if string(old.GetCommandDigest()) == string(digest) {
 			return old
 		}
@@ -55,17 +55,17 @@
 	out := &recordpb.ControlOutcome{CommandId: id, CommandDigest: digest, Version: s.Document().GetVersion()}
 	if expected != 0 && expected != out.GetVersion() {
 		out.Result = recordpb.ControlOutcome_RESULT_CONFLICT
-		out.Winner = s.winner(expected + 1)
+		out.Winner = s.commandOfVersion(expected + 1)
 		return out
 	}
 	next, missing := ApplyCommand(s.Document(), c)
 	for _, name := range missing {
-		out.Violations = append(out.Violations, &recordpb.Violation{Field: "remove[" + name + "]", Description: "no such object"})
+		out.Violations = append(out.Violations, &recordpb.Violation{Field: "remove[" + name + "]", Description: "does not exist"})
 	}
 	if len(c.GetChanges()) == 0 {
-		out.Violations = append(out.Violations, &recordpb.Violation{Field: "changes", Description: "must hold at least one change"})
+		out.Violations = append(out.Violations, &recordpb.Violation{Field: "changes", Description: "must contain at least one change"})
 	}
-	out.Violations = append(out.Violations, Validate(next, places)...)
+	out.Violations = append(out.Violations, Validate(next, domains)...)
 	if len(out.GetViolations()) > 0 {
 		out.Result = recordpb.ControlOutcome_RESULT_INVALID
 		return out
@@ -75,8 +75,9 @@
 	return out
 }
 
-// winner returns the command that made a version, if it is still known.
-func (s *State) winner(version uint64) string {
+// commandOfVersion returns the id of the command that created a version, or "" if
+// it is no longer in the audit trail.
+func (s *State) commandOfVersion(version uint64) string {
 	for n := len(s.audit) - 1; n >= 0; n-- {
 		if a := s.audit[n]; a.GetToVersion() == version && a.GetFromVersion() < version {
 			return a.GetCommandId()
@@ -85,7 +86,8 @@
 	return ""
 }
 
-// CommandDigest tells a resend from another command.
+// CommandDigest returns a digest that distinguishes a resent command from another
+// command under the same id.
 func CommandDigest(c *configpb.Command) []byte {
 	b, err := proto.MarshalOptions{Deterministic: true}.Marshal(c)
 	if err != nil {
@@ -95,35 +97,35 @@
 	return sum[:]
 }
 
-// Apply folds one committed record at its index in the journal.
+// Apply applies a committed record at its index in the journal.
 func (s *State) Apply(index uint64, r *recordpb.ControlRecord) {
 	out := r.GetOutcome()
-	if s.byID[out.GetCommandId()] != nil {
+	if s.outcomeByID[out.GetCommandId()] != nil {
 		return
 	}
 	from := s.Document().GetVersion()
 	if out.GetResult() == recordpb.ControlOutcome_RESULT_ACCEPTED && out.GetVersion() == from+1 {
 		s.doc, _ = ApplyCommand(s.Document(), r.GetCommand())
 	}
-	s.remember(out)
-	s.trail(index, r, from)
+	s.storeOutcome(out)
+	s.appendAudit(index, r, from)
 }
 
-func (s *State) remember(out *recordpb.ControlOutcome) {
-	if s.byID == nil {
-		s.byID = map[string]*recordpb.ControlOutcome{}
+func (s *State) storeOutcome(out *recordpb.ControlOutcome) {
+	if s.outcomeByID == nil {
+		s.outcomeByID = map[string]*recordpb.ControlOutcome{}
 	}
-	s.byID[out.GetCommandId()] = out
+	s.outcomeByID[out.GetCommandId()] = out
 	s.outcomes = append(s.outcomes, out)
 	if len(s.outcomes) > maxOutcomes {
-		delete(s.byID, s.outcomes[0].GetCommandId())
+		delete(s.outcomeByID, s.outcomes[0].GetCommandId())
 		s.outcomes = s.outcomes[1:]
 	}
 }
 
-// trail appends a line whose digest covers the line before it.
-func (s *State) trail(index uint64, r *recordpb.ControlRecord, from uint64) {
-	line := &recordpb.AuditRecord{
+// appendAudit appends a record whose digest covers the preceding record.
+func (s *State) appendAudit(index uint64, r *recordpb.ControlRecord, from uint64) {
+	record := &recordpb.AuditRecord{
 		Index:       index,
 		AtMs:        r.GetAtMs(),
 		Operator:    r.GetOperator(),
@@ -137,18 +139,19 @@
 	if n := len(s.audit); n > 0 {
 		prev = s.audit[n-1].GetDigest()
 	}
-	line.Digest = AuditDigest(prev, line)
-	s.audit = append(s.audit, line)
-	if len(s.audit) > maxAudit {
+	record.Digest = AuditDigest(prev, record)
+	s.audit = append(s.audit, record)
+	if len(s.audit) > maxAuditRecords {
 		s.audit = s.audit[1:]
 	}
 }
 
-// AuditDigest returns the digest of a line after the one before it.
-func AuditDigest(prev []byte, line *recordpb.AuditRecord) []byte {
-	bare := proto.CloneOf(line)
-	bare.Digest = nil
-	b, err := proto.MarshalOptions{Deterministic: true}.Marshal(bare)
+// AuditDigest returns the digest of a record, given the digest of the preceding
+// one.
+func AuditDigest(prev []byte, record *recordpb.AuditRecord) []byte {
+	withoutDigest := proto.CloneOf(record)
+	withoutDigest.Digest = nil
+	b, err := proto.MarshalOptions{Deterministic: true}.Marshal(withoutDigest)
 	if err != nil {
 		return nil
 	}
@@ -158,7 +161,7 @@
 	return h.Sum(nil)
 }
 
-// Snapshot returns the state for a journal's base.
+// Snapshot encodes the state for the base of a journal.
 func (s *State) Snapshot() ([]byte, error) {
 	return proto.MarshalOptions{Deterministic: true}.Marshal(&recordpb.ControlState{
 		Document: s.Document(),
@@ -167,7 +170,7 @@
 	})
 }
 
-// Restore replaces the state by a snapshot.
+// Restore replaces the state with an encoded snapshot.
 func (s *State) Restore(b []byte) error {
 	var in recordpb.ControlState
 	if err := proto.Unmarshal(b, &in); err != nil {
@@ -175,7 +178,7 @@
 	}
 	*s = State{doc: in.GetDocument(), audit: in.GetAudit()}
 	for _, o := range in.GetOutcomes() {
-		s.remember(o)
+		s.storeOutcome(o)
 	}
 	return nil
 }
--- a/rockbarrow/control/validate.go
+++ b/rockbarrow/control/validate.go
@@ -11,36 +11,36 @@
 	"rockbarrow.dev/schema/recordpb"
 )
 
-// MaxCallsLimit is the most calls that a program may allow one run.
+// MaxCallsLimit is the upper limit of a program's calls per run.
 const MaxCallsLimit = 4096
 
-// FailureDomain is what the settings say of a failure domain.
+// FailureDomain is the capacity of a failure domain according to the settings.
 type FailureDomain struct {
 	domain    string
 	instances int
 	disks     int
 }
 
-// NewFailureDomain returns a failure domain with its numbers of instances and of those
-// with a disk.
+// NewFailureDomain returns a failure domain with its number of instances and the
+// number of those that have a disk.
 func NewFailureDomain(domain string, instances, disks int) FailureDomain {
 	return FailureDomain{domain: domain, instances: instances, disks: disks}
 }
 
-var nameForm = regexp.MustCompile(`^[a-z0-9][a-z0-9._-]{0,62}$`)
+var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9._-]{0,62}$`)
 
-// validator collects what is wrong with a document.
+// validator collects the violations of a document.
 type validator struct {
-	snapshot *Snapshot
-	places   map[string]FailureDomain
-	found    []*recordpb.Violation
+	snapshot       *Snapshot
+	failureDomains map[string]FailureDomain
+	violations     []*recordpb.Violation
 }
 
-// Validate returns what is wrong with a whole document, by field paths.
-func Validate(doc *configpb.Document, places []FailureDomain) []*recordpb.Violation {
-	v := &validator{snapshot: NewSnapshot(doc), places: map[string]FailureDomain{}}
-	for _, p := range places {
-		v.places[p.domain] = p
+// Validate checks a document and returns its violations by field path.
+func Validate(doc *configpb.Document, domains []FailureDomain) []*recordpb.Violation {
+	v := &validator{snapshot: NewSnapshot(doc), failureDomains: map[string]FailureDomain{}}
+	for _, p := range domains {
+		v.failureDomains[p.domain] = p
 	}
 	for _, c := range doc.GetCustomers() {
 		v.customer(c)
@@ -65,17 +65,17 @@
 			v.add(fmt.Sprintf("withdrawals[%s].mode", w.GetSubject()), "must be drain or fence")
 		}
 	}
-	return v.found
+	return v.violations
 }
 
 func (v *validator) add(field, description string) {
-	v.found = append(v.found, &recordpb.Violation{Field: field, Description: description})
+	v.violations = append(v.violations, &recordpb.Violation{Field: field, Description: description})
 }
 
 func (v *validator) name(list, name string) string {
 	path := fmt.Sprintf("%s[%s]", list, name)
-	if !nameForm.MatchString(name) {
-		v.add(path+".name", "must be 1 to 63 of a-z, 0-9, dot, dash and underscore, and begin with a letter or digit")
+	if !namePattern.MatchString(name) {
+		v.add(path+".name", "must be 1 to 63 characters of a-z, 0-9, dot, dash and underscore, and begin with a letter or digit")
 	}
 	return path
 }
@@ -84,10 +84,10 @@
 	path := v.name("customers", c.GetName())
 	for i, h := range c.GetKeyHashes() {
 		if len(h) != 64 {
-			v.add(fmt.Sprintf("%s.key_hashes[%d]", path, i), "must be a SHA-256 in hexadecimal")
+			v.add(fmt.Sprintf("%s.key_hashes[%d]", path, i), "must be a SHA-256 hash in hexadecimal")
 		}
 		if o := v.snapshot.keys[h]; o.GetName() != c.GetName() {
-			v.add(fmt.Sprintf("%s.key_hashes[%d]", path, i), "belongs to customer "+o.GetName()+" too")
+			v.add(fmt.Sprintf("%s.key_hashes[%d]", path, i), "is also a key of customer "+o.GetName())
 		}
 	}
 }
@@ -95,11 +95,11 @@
 func (v *validator) binding(b *configpb.Binding) {
 	path := v.name("bindings", b.GetName())
 	if len(b.GetDomains()) == 0 {
-		v.add(path+".domains", "must name at least one failure domain")
+		v.add(path+".domains", "must list at least one failure domain")
 	}
 	durable := false
 	for i, d := range b.GetDomains() {
-		p, ok := v.places[d]
+		p, ok := v.failureDomains[d]
 		if !ok {
 			v.add(fmt.Sprintf("%s.domains[%d]", path, i), "no instance has the failure domain "+d)
 			continue
@@ -107,13 +107,13 @@
 		durable = durable || p.instances >= 2 || p.disks >= 1
 	}
 	if !durable && len(b.GetDomains()) > 0 {
-		v.add(path+".domains", "no allowed failure domain has two instances or one with a disk to keep history")
+		v.add(path+".domains", "no allowed failure domain has two instances, or one with a disk, to store history")
 	}
 }
 
 func (v *validator) endpoint(e *configpb.Endpoint) {
 	path := v.name("endpoints", e.GetName())
-	if _, ok := v.places[e.GetDomain()]; !ok {
+	if _, ok := v.failureDomains[e.GetDomain()]; !ok {
 		v.add(path+".domain", "no instance has the failure domain "+e.GetDomain())
 	}
 	u, err := url.Parse(e.GetAddress())
@@ -121,16 +121,16 @@
 		v.add(path+".address", "must be a URL such as http://10.0.0.7:8000")
 	}
 	if (len(e.GetModels()) == 0) == (e.GetService() == "") {
-		v.add(path+".models", "must name models, or a service, but not both")
+		v.add(path+".models", "must name either models or a service")
 	}
 	for i, m := range e.GetModels() {
 		if _, ok := v.snapshot.models[m]; !ok {
-			v.add(fmt.Sprintf("%s.models[%d]", path, i), "no model "+m)
+			v.add(fmt.Sprintf("%s.models[%d]", path, i), "unknown model "+m)
 		}
 	}
 	if s := e.GetService(); s != "" {
 		if _, ok := v.snapshot.services[s]; !ok {
-			v.add(path+".service", "no service "+s)
+			v.add(path+".service", "unknown service "+s)
 		}
 	}
 }
@@ -139,21 +139,21 @@
 	path := v.name("services", s.GetName())
 	b, ok := v.snapshot.bindings[s.GetBinding()]
 	if !ok {
-		v.add(path+".binding", "no binding "+s.GetBinding())
+		v.add(path+".binding", "unknown binding "+s.GetBinding())
 		return
 	}
-	if !servedIn(v.snapshot.byService[s.GetName()], b) {
-		v.add(path+".binding", "no endpoint of the service stands in an allowed failure domain")
+	if !anyAllowed(v.snapshot.byService[s.GetName()], b) {
+		v.add(path+".binding", "no endpoint of the service is in an allowed failure domain")
 	}
 }
 
 func (v *validator) program(p *configpb.Program) {
 	path := v.name("programs", p.GetName())
 	if _, ok := v.snapshot.customers[p.GetCustomer()]; !ok {
-		v.add(path+".customer", "no customer "+p.GetCustomer())
+		v.add(path+".customer", "unknown customer "+p.GetCustomer())
 	}
 	if _, ok := v.snapshot.models[p.GetModel()]; !ok {
-		v.add(path+".model", "no model "+p.GetModel())
+		v.add(path+".model", "unknown model "+p.GetModel())
 	}
 	if p.GetBudgetTokens() == 0 {
 		v.add(path+".budget_tokens", "must be 1 or more")
@@ -163,15 +163,15 @@
 	}
 	b, ok := v.snapshot.bindings[p.GetBinding()]
 	if !ok {
-		v.add(path+".binding", "no binding "+p.GetBinding())
+		v.add(path+".binding", "unknown binding "+p.GetBinding())
 		return
 	}
-	if !servedIn(v.snapshot.byModel[p.GetModel()], b) {
-		v.add(path+".binding", "no engine with model "+p.GetModel()+" stands in an allowed failure domain")
+	if !anyAllowed(v.snapshot.byModel[p.GetModel()], b) {
+		v.add(path+".binding", "no endpoint with model "+p.GetModel()+" is in an allowed failure domain")
 	}
 }
 
-func servedIn(endpoints []*configpb.Endpoint, b Binding) bool {
+func anyAllowed(endpoints []*configpb.Endpoint, b Binding) bool {
 	for _, e := range endpoints {
 		if b.Allows(e.GetDomain()) {
 			return true
