--- a/rockbarrow/backend/backend.go
+++ b/rockbarrow/backend/backend.go
@@ -19,7 +19,7 @@
 }
 
 // Call implements [host.Backends].
-func (s *Set) Call(ctx context.Context, a host.Attempt, emit func(uint64, string)) host.Outcome {
+func (s *Set) Call(ctx context.Context, a host.Attempt, emit func(uint64, string)) host.Result {
 	if a.Endpoint.GetService() != "" {
 		return s.Service.Call(ctx, a, emit)
 	}
--- a/rockbarrow/caller/runs.go
+++ b/rockbarrow/caller/runs.go
@@ -92,7 +92,7 @@
 	if p != nil {
 		return nil, p
 	}
-	run, p := q.server.Homes.Name(q.customer.GetName(), key, b)
+	run, p := q.server.Homes.NewRunID(q.customer.GetName(), key, b)
 	if p != nil {
 		return nil, p
 	}
--- a/rockbarrow/caller/server.go
+++ b/rockbarrow/caller/server.go
@@ -69,7 +69,7 @@
 type Homes interface {
 	// Name returns a new run's id: at random, or for a key always the same. It
 	// fails when no allowed failure domain can take it.
-	Name(customer, key string, b control.Binding) (string, *peerpb.Problem)
+	NewRunID(customer, key string, b control.Binding) (string, *peerpb.Problem)
 }
 
 // Handler returns the mux of all pages.
--- a/rockbarrow/caller/server_test.go
+++ b/rockbarrow/caller/server_test.go
@@ -38,7 +38,7 @@
 
 type fakeHomes struct{}
 
-func (fakeHomes) Name(_, key string, _ control.Binding) (string, *peerpb.Problem) {
+func (fakeHomes) NewRunID(_, key string, _ control.Binding) (string, *peerpb.Problem) {
 	return "east.run" + key, nil
 }
 
--- a/rockbarrow/caller/services.go
+++ b/rockbarrow/caller/services.go
@@ -76,7 +76,7 @@
 	if key != "" {
 		key = "service-" + v.GetName() + "-" + key
 	}
-	run, p := q.server.Homes.Name(q.customer.GetName(), key, b)
+	run, p := q.server.Homes.NewRunID(q.customer.GetName(), key, b)
 	if p != nil {
 		return "", p
 	}
--- a/rockbarrow/daemon/build.go
+++ b/rockbarrow/daemon/build.go
@@ -142,7 +142,7 @@
 func (d *Daemon) buildHost() {
 	d.host = &host.Host{
 		Instance: d.Settings.Instance, Domain: d.Settings.Domain, Incarnation: d.incarnation,
-		Peers: d.client, Backends: backends(), Desk: d.desk,
+		Peers: d.client, Backends: backends(), Dispatcher: d.desk,
 		View:        d.node.View,
 		Lease:       settings.Milliseconds(d.Settings.Timing.LeaseMS),
 		CallTimeout: time.Duration(d.Settings.Limits.CallSeconds) * time.Second,
@@ -190,7 +190,7 @@
 			d.Log.WithError(err).Error("closing the store")
 		}
 	})
-	d.host.Store, d.host.Storage = store, store.Storage()
+	d.host.Store, d.host.StorageIncarnation = store, store.Storage()
 	d.source.Store, d.source.Storage = store, store.Storage()
 	kept, err := store.Load()
 	if err != nil {
--- a/rockbarrow/daemon/daemon.go
+++ b/rockbarrow/daemon/daemon.go
@@ -154,7 +154,7 @@
 	notBefore := time.Now().Add(noticePeriod)
 	for time.Now().Before(deadline) {
 		busy := d.host.Stop()
-		_, _, exposed := d.host.Counts()
+		_, _, exposed := d.host.RunCounts()
 		if busy == 0 && exposed == 0 && time.Now().After(notBefore) && !d.neighboursRepair() {
 			return
 		}
@@ -274,8 +274,8 @@
 
 // own is the instance's word on itself.
 func (d *Daemon) own() roster.Heartbeat {
-	owned, _, repairing := d.host.Counts()
-	b := roster.NewHeartbeat(d.Settings.Instance, d.incarnation, d.host.Storage)
+	owned, _, repairing := d.host.RunCounts()
+	b := roster.NewHeartbeat(d.Settings.Instance, d.incarnation, d.host.StorageIncarnation)
 	leaving := d.stopping.get() || d.withdrawn()
 	return b.WithStatus(leaving, d.source.Learned(), d.source.Snapshot().Version(), uint64(owned), uint64(repairing))
 }
--- a/rockbarrow/engine/client.go
+++ b/rockbarrow/engine/client.go
@@ -94,7 +94,7 @@
 
 // Call sends an attempt and streams its answer. It returns when the answer is
 // whole, has failed, or ctx ends.
-func (c *Client) Call(ctx context.Context, a host.Attempt, emit func(offset uint64, content string)) host.Outcome {
+func (c *Client) Call(ctx context.Context, a host.Attempt, emit func(offset uint64, content string)) host.Result {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	stall := time.AfterFunc(c.Stall, cancel)
@@ -102,16 +102,16 @@
 	w := &Writing{}
 	req, err := c.request(httptrace.WithClientTrace(ctx, w.Trace()), a)
 	if err != nil {
-		return host.Outcome{NotRun: true, Final: true, Reason: err.Error()}
+		return host.Result{NotExecuted: true, Permanent: true, Reason: err.Error()}
 	}
 	start := time.Now()
 	// The last moment: a process that was paused sends nothing.
 	if !start.Before(a.Deadline) {
-		return host.Outcome{NotRun: true, Reason: "the intent is older than the lease"}
+		return host.Result{NotExecuted: true, Reason: "the intent is older than the lease"}
 	}
 	resp, err := c.HTTP.Do(req)
 	if err != nil {
-		return host.Outcome{NotRun: !w.Begun(), Reason: "engine " + a.Endpoint.GetName() + ": " + err.Error()}
+		return host.Result{NotExecuted: !w.Begun(), Reason: "engine " + a.Endpoint.GetName() + ": " + err.Error()}
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
@@ -163,15 +163,15 @@
 
 // Refusal reads an endpoint's refusal. Only its own word makes it certain that
 // nothing ran.
-func Refusal(e *configpb.Endpoint, resp *http.Response) host.Outcome {
+func Refusal(e *configpb.Endpoint, resp *http.Response) host.Result {
 	const head = 300
 	b, _ := io.ReadAll(io.LimitReader(resp.Body, head))
 	notRun := resp.Header.Get(HeaderNotRun) == "true"
 	err := &StatusError{Status: resp.StatusCode, Body: strings.TrimSpace(string(b))}
-	return host.Outcome{
-		NotRun: notRun,
-		Final:  notRun && (resp.StatusCode == http.StatusBadRequest || resp.StatusCode == http.StatusRequestEntityTooLarge),
-		Reason: e.GetName() + ": " + err.Error(),
+	return host.Result{
+		NotExecuted: notRun,
+		Permanent:   notRun && (resp.StatusCode == http.StatusBadRequest || resp.StatusCode == http.StatusRequestEntityTooLarge),
+		Reason:      e.GetName() + ": " + err.Error(),
 	}
 }
 
@@ -188,7 +188,7 @@
 	usage   *usage
 }
 
-func (r *reading) all(body io.Reader) host.Outcome {
+func (r *reading) all(body io.Reader) host.Result {
 	s := bufio.NewScanner(body)
 	s.Buffer(make([]byte, 0, 4096), maxLine)
 	for s.Scan() {
@@ -238,21 +238,21 @@
 	return nil
 }
 
-func (r *reading) failed(reason string) host.Outcome {
-	return host.Outcome{Reason: r.attempt.Endpoint.GetName() + ": " + reason, First: r.first, All: time.Since(r.start)}
+func (r *reading) failed(reason string) host.Result {
+	return host.Result{Reason: r.attempt.Endpoint.GetName() + ": " + reason, TimeToFirstToken: r.first, Duration: time.Since(r.start)}
 }
 
-func (r *reading) done() host.Outcome {
+func (r *reading) done() host.Result {
 	if r.usage == nil || r.finish == "" {
 		return r.failed("the stream ended without usage")
 	}
 	content := r.content.String()
 	sum := sha256.Sum256([]byte(content))
 	in := r.attempt.Intent
-	return host.Outcome{
-		First: r.first,
-		All:   time.Since(r.start),
-		Answered: &recordpb.Answered{
+	return host.Result{
+		TimeToFirstToken: r.first,
+		Duration:         time.Since(r.start),
+		Answer: &recordpb.Answered{
 			Sequence:     in.GetSequence(),
 			Attempt:      in.GetAttempt(),
 			Content:      content,
--- a/rockbarrow/host/home.go
+++ b/rockbarrow/host/home.go
@@ -23,11 +23,11 @@
 	idBytes = 12
 )
 
-// Name returns a new run's id, which begins with its home failure domain.
+// NewRunID returns a new run's id, which begins with its home failure domain.
 // Without a key it is drawn so that this instance, if its domain is allowed,
 // owns the run and the replicas live. A key has one home for ever, by its hash,
 // as a second one would fork the history; only a fenced domain is passed over.
-func (h *Host) Name(customer, key string, b control.Binding) (string, *peerpb.Problem) {
+func (h *Host) NewRunID(customer, key string, b control.Binding) (string, *peerpb.Problem) {
 	if key != "" {
 		return h.keyed(customer, key, b)
 	}
--- a/rockbarrow/host/host.go
+++ b/rockbarrow/host/host.go
@@ -38,14 +38,14 @@
 	Domain   string
 	// Incarnation is the number of this life of the process.
 	Incarnation uint64
-	// Storage is the number of the disk's life; 0 without a disk.
-	Storage uint64
-	Peers   Peers
+	// StorageIncarnation is the number of the disk's life; 0 without a disk.
+	StorageIncarnation uint64
+	Peers              PeerClient
 	// Backends sends calls to endpoints.
 	Backends Backends
 	// Store is nil without a disk.
-	Store Store
-	Desk  *dispatch.Dispatcher
+	Store      Store
+	Dispatcher *dispatch.Dispatcher
 	// Config and View return what is in force; both are read on every request.
 	Config func() *control.Snapshot
 	View   func() *roster.View
@@ -86,8 +86,8 @@
 
 // self returns the own member of a new journal.
 func (h *Host) self() journal.Member {
-	if h.Storage != 0 {
-		return journal.NewMember(h.Instance, h.Storage).WithDisk()
+	if h.StorageIncarnation != 0 {
+		return journal.NewMember(h.Instance, h.StorageIncarnation).WithDisk()
 	}
 	return journal.NewMember(h.Instance, h.Incarnation)
 }
@@ -158,11 +158,11 @@
 	h.Metrics.Gauge("runs_owned").Update(float64(owned))
 	h.Metrics.Gauge("runs_replicated").Update(float64(held))
 	h.Metrics.Gauge("runs_repairing").Update(float64(repairing))
-	h.Metrics.Gauge("calls_queued").Update(float64(h.Desk.QueueLen()))
+	h.Metrics.Gauge("calls_queued").Update(float64(h.Dispatcher.QueueLen()))
 }
 
-// Counts returns owned runs, replicated runs, and owned runs that lack replicas.
-func (h *Host) Counts() (owned, held, repairing int64) {
+// RunCounts returns owned runs, replicated runs, and owned runs that lack replicas.
+func (h *Host) RunCounts() (owned, held, repairing int64) {
 	return h.owned.Load(), h.held.Load(), h.repairing.Load()
 }
 
--- a/rockbarrow/host/perform.go
+++ b/rockbarrow/host/perform.go
@@ -80,7 +80,7 @@
 			Class:          classOf(created),
 			PromptTokens:   promptOf(bounds),
 			OutputTokens:   int64(a.AnswerTokens),
-			Prefixes:       r.host.Desk.Prefixes.Find(bounds),
+			Prefixes:       r.host.Dispatcher.Prefixes.Find(bounds),
 			LastEndpoint:   incarnation.ID{EndpointID: a.LastEndpoint},
 			AvoidEndpoints: avoid,
 		},
@@ -92,7 +92,7 @@
 	job.Rejected = func(p *peerpb.Problem) {
 		r.post(owner.ProgramEvent{Event: program.PlacementFailed{Sequence: a.Sequence, Attempt: a.Attempt, Problem: p}})
 	}
-	r.host.Desk.Submit(job)
+	r.host.Dispatcher.Submit(job)
 }
 
 // refusal tells why a run may not call now, before any endpoint is looked for.
@@ -166,14 +166,14 @@
 	w := &sending{
 		run: r, seat: s, ctx: ctx, version: a.Intent.GetConfigVersion(),
 		attempt: Attempt{
-			Run:      r.name,
-			Created:  state.Created(),
-			Intent:   a.Intent,
-			History:  a.History,
-			Endpoint: s.seat.Choice().Endpoint().Config(),
-			Bounds:   placement.Boundaries(a.History),
-			Priority: state.Spent(),
-			Deadline: a.ProposedAt.Add(r.host.Lease),
+			Run:              r.name,
+			Created:          state.Created(),
+			Intent:           a.Intent,
+			History:          a.History,
+			Endpoint:         s.seat.Choice().Endpoint().Config(),
+			PrefixBoundaries: placement.Boundaries(a.History),
+			Priority:         state.Spent(),
+			Deadline:         a.ProposedAt.Add(r.host.Lease),
 		},
 	}
 	go w.loop()
--- a/rockbarrow/host/ports.go
+++ b/rockbarrow/host/ports.go
@@ -13,8 +13,8 @@
 	"rockbarrow.dev/schema/recordpb"
 )
 
-// Peers reaches other instances.
-type Peers interface {
+// PeerClient reaches other instances.
+type PeerClient interface {
 	// Journal carries one message to a replica and returns its reply. An error
 	// says nothing of whether the message arrived.
 	Journal(ctx context.Context, name string, to journal.Member, m journal.Message) (journal.Reply, error)
@@ -30,32 +30,32 @@
 	Intent   *recordpb.Intent
 	History  []*recordpb.Message
 	Endpoint *configpb.Endpoint
-	// Bounds name the prompt's prefixes to the engine.
-	Bounds []placement.Boundary
+	// PrefixBoundaries name the prompt's prefixes to the engine.
+	PrefixBoundaries []placement.Boundary
 	// Priority is smaller for runs that have had less service.
 	Priority uint64
 	// Deadline is when an unsent attempt must not be sent any more.
 	Deadline time.Time
 }
 
-// Outcome is what an attempt came to.
-type Outcome struct {
-	// Answered is the whole answer, or nil.
-	Answered *recordpb.Answered
-	// NotRun is true only when the endpoint certainly did not run it.
-	NotRun bool
-	// Final is true when another endpoint would refuse it too.
-	Final bool
+// Result is what an attempt came to.
+type Result struct {
+	// Answer is the whole answer, or nil.
+	Answer *recordpb.Answered
+	// NotExecuted is true only when the endpoint certainly did not run it.
+	NotExecuted bool
+	// Permanent is true when another endpoint would refuse it too.
+	Permanent bool
 	// Reason describes a failure.
 	Reason string
-	// First and All are the times to the first and the last token.
-	First, All time.Duration
+	// TimeToFirstToken and Duration are the times to the first and the last token.
+	TimeToFirstToken, Duration time.Duration
 }
 
 // Backends sends calls to endpoints.
 type Backends interface {
 	// Call sends an attempt and streams its answer.
-	Call(ctx context.Context, a Attempt, emit func(offset uint64, content string)) Outcome
+	Call(ctx context.Context, a Attempt, emit func(offset uint64, content string)) Result
 	// Release asks an engine to free what it holds for a run.
 	Release(ctx context.Context, e *configpb.Endpoint, run string) error
 }
--- a/rockbarrow/host/replica.go
+++ b/rockbarrow/host/replica.go
@@ -34,7 +34,7 @@
 func (r *run) message(to journal.Member, m journal.Message) journal.Reply {
 	r.replicaMu.Lock()
 	if r.replica == nil {
-		fresh := r.host.Storage == 0 && time.Since(r.host.started) < keyWindow
+		fresh := r.host.StorageIncarnation == 0 && time.Since(r.host.started) < keyWindow
 		r.replica = &journal.Replica{Witness: to.Witness(), Fresh: fresh}
 	}
 	reply, change := r.replica.Handle(m)
--- a/rockbarrow/host/route.go
+++ b/rockbarrow/host/route.go
@@ -116,7 +116,7 @@
 // allAnswered reports whether no instance of the home is missing that could
 // know the run.
 func (w *route) allAnswered() bool {
-	for _, i := range w.host.View().RankByKey(w.req.GetRun(), HomeOf(w.req.GetRun()), true) {
+	for _, i := range w.host.View().RankByKey(w.req.GetRun(), HomeDomain(w.req.GetRun()), true) {
 		if i.State() == roster.Dead || i.State() == roster.Unknown {
 			return false
 		}
@@ -135,7 +135,7 @@
 		}
 		known = known || k
 	}
-	for _, i := range w.host.View().RankByKey(run, HomeOf(run), true) {
+	for _, i := range w.host.View().RankByKey(run, HomeDomain(run), true) {
 		if i.State() == roster.Dead || ctx.Err() != nil {
 			continue
 		}
--- a/rockbarrow/host/run.go
+++ b/rockbarrow/host/run.go
@@ -100,7 +100,7 @@
 		return false
 	}
 	if r.host.wrote(ballot) {
-		return r.unrested() || owner.NeedsRepair(members, v, r.name, HomeOf(r.name), r.host.self())
+		return r.unrested() || owner.NeedsRepair(members, v, r.name, HomeDomain(r.name), r.host.self())
 	}
 	if v.IsWriterAlive(ballot) {
 		return false
@@ -160,7 +160,7 @@
 	r.next = time.Now().Add(pause())
 	o := &owner.Owner{
 		Run:              r.name,
-		Domain:           HomeOf(r.name),
+		Domain:           HomeDomain(r.name),
 		Self:             h.self(),
 		Incarnation:      h.Incarnation,
 		ConcurrentCreate: c.keyed,
--- a/rockbarrow/host/sending.go
+++ b/rockbarrow/host/sending.go
@@ -36,18 +36,18 @@
 	out := w.run.host.Backends.Call(w.ctx, w.attempt, w.emit)
 	w.seat.seat.Release(w.result(out))
 	log := w.run.host.Log.WithField("run", w.run.name).WithField("call", in.GetSequence()).WithField("attempt", in.GetAttempt()).WithField("endpoint", in.GetEndpoint())
-	if out.Answered == nil {
-		log.WithField("not_run", out.NotRun).WithField("reason", out.Reason).Info("an attempt failed")
+	if out.Answer == nil {
+		log.WithField("not_run", out.NotExecuted).WithField("reason", out.Reason).Info("an attempt failed")
 		w.run.host.Metrics.Counter("attempts_failed").Inc(1)
-		w.post(program.AttemptFailed{Sequence: in.GetSequence(), Attempt: in.GetAttempt(), NotRun: out.NotRun, Reason: out.Reason, Final: out.Final})
+		w.post(program.AttemptFailed{Sequence: in.GetSequence(), Attempt: in.GetAttempt(), NotRun: out.NotExecuted, Reason: out.Reason, Final: out.Permanent})
 		return
 	}
-	log.WithField("first_token_ms", out.First.Milliseconds()).Debug("an attempt was answered")
-	w.remember(out.Answered)
-	w.run.host.Metrics.Counter("prompt_tokens").Inc(int64(out.Answered.GetPromptTokens()))
-	w.run.host.Metrics.Counter("cached_tokens").Inc(int64(out.Answered.GetCachedTokens()))
-	w.run.host.Metrics.Timer("first_token").Record(out.First)
-	w.post(program.AttemptFinished{Sequence: in.GetSequence(), Attempt: in.GetAttempt(), Answered: out.Answered})
+	log.WithField("first_token_ms", out.TimeToFirstToken.Milliseconds()).Debug("an attempt was answered")
+	w.remember(out.Answer)
+	w.run.host.Metrics.Counter("prompt_tokens").Inc(int64(out.Answer.GetPromptTokens()))
+	w.run.host.Metrics.Counter("cached_tokens").Inc(int64(out.Answer.GetCachedTokens()))
+	w.run.host.Metrics.Timer("first_token").Record(out.TimeToFirstToken)
+	w.post(program.AttemptFinished{Sequence: in.GetSequence(), Attempt: in.GetAttempt(), Answered: out.Answer})
 }
 
 // forbidden checks the place once more right before sending, as the
@@ -76,13 +76,13 @@
 
 func (w *sending) post(e program.Event) { w.run.post(owner.ProgramEvent{Event: e}) }
 
-func (w *sending) result(out Outcome) placement.Result {
-	a := out.Answered
+func (w *sending) result(out Result) placement.Result {
+	a := out.Answer
 	return placement.Result{
-		OK:               a != nil || out.NotRun && out.Final || w.ctx.Err() == context.Canceled,
+		OK:               a != nil || out.NotExecuted && out.Permanent || w.ctx.Err() == context.Canceled,
 		ComputedTokens:   int64(a.GetPromptTokens()) - int64(a.GetCachedTokens()),
-		TimeToFirstToken: out.First,
-		Duration:         out.All,
+		TimeToFirstToken: out.TimeToFirstToken,
+		Duration:         out.Duration,
 		OutputTokens:     int64(a.GetAnswerTokens()),
 	}
 }
@@ -92,7 +92,7 @@
 	if w.attempt.Created.GetService() != "" {
 		return
 	}
-	p := &w.run.host.Desk.Prefixes
+	p := &w.run.host.Dispatcher.Prefixes
 	name := w.attempt.Endpoint.GetName()
 	bounds := placement.Boundaries(append(w.attempt.History[:len(w.attempt.History):len(w.attempt.History)],
 		&recordpb.Message{Role: "assistant", Content: a.GetContent()}))
--- a/rockbarrow/host/serve.go
+++ b/rockbarrow/host/serve.go
@@ -13,8 +13,8 @@
 	"rockbarrow.dev/schema/peerpb"
 )
 
-// HomeOf returns the failure domain that a run's id names.
-func HomeOf(run string) string {
+// HomeDomain returns the failure domain that a run's id names.
+func HomeDomain(run string) string {
 	home, _, _ := strings.Cut(run, ".")
 	return home
 }
--- a/rockbarrow/service/client.go
+++ b/rockbarrow/service/client.go
@@ -28,23 +28,23 @@
 }
 
 // Call sends an attempt and returns its whole answer.
-func (c *Client) Call(ctx context.Context, a host.Attempt, _ func(uint64, string)) host.Outcome {
+func (c *Client) Call(ctx context.Context, a host.Attempt, _ func(uint64, string)) host.Result {
 	w := &engine.Writing{}
 	ctx = httptrace.WithClientTrace(ctx, w.Trace())
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, a.Endpoint.GetAddress()+"/", bytes.NewReader(a.Intent.GetServiceBody()))
 	if err != nil {
-		return host.Outcome{NotRun: true, Final: true, Reason: err.Error()}
+		return host.Result{NotExecuted: true, Permanent: true, Reason: err.Error()}
 	}
 	req.Header.Set("Content-Type", "application/json")
 	req.Header.Set(engine.HeaderAttempt, engine.AttemptID(a.Run, a.Intent))
 	req.Header.Set(engine.HeaderRun, a.Run)
 	start := time.Now()
 	if !start.Before(a.Deadline) {
-		return host.Outcome{NotRun: true, Reason: "the intent is older than the lease"}
+		return host.Result{NotExecuted: true, Reason: "the intent is older than the lease"}
 	}
 	resp, err := c.HTTP.Do(req)
 	if err != nil {
-		return host.Outcome{NotRun: !w.Begun(), Reason: "service " + a.Endpoint.GetName() + ": " + err.Error()}
+		return host.Result{NotExecuted: !w.Begun(), Reason: "service " + a.Endpoint.GetName() + ": " + err.Error()}
 	}
 	defer resp.Body.Close()
 	if c.refused(a, resp) {
@@ -67,19 +67,19 @@
 	return false
 }
 
-func (c *Client) answer(a host.Attempt, resp *http.Response, first time.Duration) host.Outcome {
+func (c *Client) answer(a host.Attempt, resp *http.Response, first time.Duration) host.Result {
 	b, err := io.ReadAll(io.LimitReader(resp.Body, c.MaxAnswer+1))
 	if err != nil {
-		return host.Outcome{Reason: "service " + a.Endpoint.GetName() + ": " + err.Error()}
+		return host.Result{Reason: "service " + a.Endpoint.GetName() + ": " + err.Error()}
 	}
 	if int64(len(b)) > c.MaxAnswer {
-		return host.Outcome{Reason: "service " + a.Endpoint.GetName() + ": the answer is too long"}
+		return host.Result{Reason: "service " + a.Endpoint.GetName() + ": the answer is too long"}
 	}
 	sum := sha256.Sum256(b)
-	return host.Outcome{
-		First: first,
-		All:   first,
-		Answered: &recordpb.Answered{
+	return host.Result{
+		TimeToFirstToken: first,
+		Duration:         first,
+		Answer: &recordpb.Answered{
 			Sequence:     a.Intent.GetSequence(),
 			Attempt:      a.Intent.GetAttempt(),
 			Content:      string(b),
