--- a/rockbarrow/control/validate.go
+++ b/rockbarrow/control/validate.go
@@ -87,7 +87,7 @@
 			v.add(fmt.Sprintf("%s.key_hashes[%d]", path, i), "must be a SHA-256 hash in hexadecimal")
 		}
 		if o := v.snapshot.keys[h]; o.GetName() != c.GetName() {
-			v.add(fmt.Sprintf("%s.key_hashes[%d]", path, i), "is also a key of customer "+o.GetName())
+			v.add(fmt.Sprintf("%s.key_hashes[%d]", path, i), "belongs to customer "+o.GetName()+" too")
 		}
 	}
 }
--- a/rockbarrow/host/doc.go
+++ b/rockbarrow/host/doc.go
@@ -1,13 +1,13 @@
 // SPDX-License-Identifier: MIT
 
-// Package host runs the stepped cores of all runs that an instance owns or
-// replicates.
+// Package host runs the runs that an instance owns or replicates.
 //
-// A [Host] gives each run a mailbox. Whoever posts an event to an idle run
-// steps it, so that a run is stepped by one goroutine at a time and never
-// under a lock that its actions could need. The outside is reached through the
-// ports [PeerClient], [Backends] and [Store] only.
+// Each run is a state machine with a mailbox. The goroutine that posts an event
+// to an idle run processes it, so that a run is stepped by one goroutine at a
+// time, and its actions are performed without holding a lock. The package
+// reaches other components only through the interfaces [PeerClient], [Backends]
+// and [Store].
 //
-// [Host.Do] is the entry: it finds the run's owner, here or elsewhere, and asks
-// again, under the same request id, when the owner was lost on the way.
+// [Host.Do] handles a request: it locates the run's owner, here or on another
+// instance, and retries under the same request id if the owner fails.
 package host
--- a/rockbarrow/host/home.go
+++ b/rockbarrow/host/home.go
@@ -17,54 +17,56 @@
 )
 
 const (
-	// draws bounds how often an id is drawn until its replicas suit.
-	draws = 256
-	// idBytes is the size of the drawn part of an id.
-	idBytes = 12
+	// maxIDDraws bounds the attempts to find an id whose replicas are usable.
+	maxIDDraws = 256
+	// randomIDBytes is the length of the part of an id after the failure domain.
+	randomIDBytes = 12
 )
 
-// NewRunID returns a new run's id, which begins with its home failure domain.
-// Without a key it is drawn so that this instance, if its domain is allowed,
-// owns the run and the replicas live. A key has one home for ever, by its hash,
-// as a second one would fork the history; only a fenced domain is passed over.
+// NewRunID returns the id of a new run, which begins with its home failure
+// domain. Without an idempotency key the id is random and chosen so that this
+// instance, if its failure domain is allowed, owns the run and its replicas are
+// usable. With a key the id and the failure domain follow from the key's hash, so
+// that a repeated request reaches the same run; only fenced domains are skipped.
 func (h *Host) NewRunID(customer, key string, b control.Binding) (string, *peerpb.Problem) {
 	if key != "" {
-		return h.keyed(customer, key, b)
+		return h.keyedRunID(customer, key, b)
 	}
-	domains := h.open(b)
+	domains := h.openDomains(b)
 	if len(domains) == 0 {
-		return "", problem.Retry(problem.NotServing, "no allowed failure domain takes new runs", time.Second)
+		return "", problem.Retry(problem.NotServing, "no allowed failure domain accepts new runs", time.Second)
 	}
-	home := h.nearest(domains)
-	return h.draw(home), nil
+	home := h.preferredDomain(domains)
+	return h.randomRunID(home), nil
 }
 
-func (h *Host) keyed(customer, key string, b control.Binding) (string, *peerpb.Problem) {
+func (h *Host) keyedRunID(customer, key string, b control.Binding) (string, *peerpb.Problem) {
 	sum := sha256.Sum256([]byte(customer + "\x00" + key))
 	domains := b.Proto().GetDomains()
 	start := binary.BigEndian.Uint64(sum[:]) % uint64(len(domains))
 	for i := range uint64(len(domains)) {
 		d := domains[(start+i)%uint64(len(domains))]
 		if mode, _ := h.Config().Withdrawn(d); mode != configpb.Withdrawal_MODE_FENCE {
-			return d + "." + hex.EncodeToString(sum[:idBytes]), nil
+			return d + "." + hex.EncodeToString(sum[:randomIDBytes]), nil
 		}
 	}
 	return "", problem.Retry(problem.NotServing, "all allowed failure domains are fenced", time.Second)
 }
 
-// open returns the allowed domains that take new runs and have live instances.
-func (h *Host) open(b control.Binding) []string {
+// openDomains returns the failure domains that the binding allows, that are
+// not withdrawn and that have an instance which is not dead.
+func (h *Host) openDomains(b control.Binding) []string {
 	var out []string
 	view := h.View()
 	for _, d := range b.Proto().GetDomains() {
-		if _, withdrawn := h.Config().Withdrawn(d); !withdrawn && alive(view, d) {
+		if _, withdrawn := h.Config().Withdrawn(d); !withdrawn && hasLiveInstance(view, d) {
 			out = append(out, d)
 		}
 	}
 	return out
 }
 
-func alive(v *roster.View, domain string) bool {
+func hasLiveInstance(v *roster.View, domain string) bool {
 	for _, i := range v.Instances() {
 		if i.Domain() == domain && i.State() != roster.Dead {
 			return true
@@ -73,7 +75,7 @@
 	return false
 }
 
-func (h *Host) nearest(domains []string) string {
+func (h *Host) preferredDomain(domains []string) string {
 	for _, d := range domains {
 		if d == h.Domain {
 			return d
@@ -84,27 +86,29 @@
 	return domains[int(b[0])%len(domains)]
 }
 
-// draw draws ids until the replicas suit, or takes the last.
-func (h *Host) draw(home string) string {
+// randomRunID returns a random id whose replicas are usable, or any id if none
+// is found.
+func (h *Host) randomRunID(home string) string {
 	view := h.View()
 	id := ""
-	for range draws {
-		var b [idBytes]byte
+	for range maxIDDraws {
+		var b [randomIDBytes]byte
 		rand.Read(b[:])
 		id = home + "." + hex.EncodeToString(b[:])
 		ranked := view.RankByKey(id, home, true)
 		if home == h.Domain && ranked[0].Instance() != h.Instance {
 			continue
 		}
-		if usable(ranked) {
+		if replicasUsable(ranked) {
 			return id
 		}
 	}
 	return id
 }
 
-// usable reports whether the first replicas of an id live.
-func usable(ranked []roster.Instance) bool {
+// replicasUsable reports whether the three highest-ranked instances are
+// usable.
+func replicasUsable(ranked []roster.Instance) bool {
 	for _, i := range ranked[:min(3, len(ranked))] {
 		if !i.Usable() {
 			return false
--- a/rockbarrow/host/host.go
+++ b/rockbarrow/host/host.go
@@ -20,25 +20,27 @@
 )
 
 const (
-	// tickPeriod is how often owned runs are ticked.
+	// tickPeriod is the interval between ticks of owned runs.
 	tickPeriod = 500 * time.Millisecond
-	// sweepEvery is how many ticks pass between sweeps for old journals.
-	sweepEvery = 120
-	// keyWindow is how long a creation may be resent under its key.
-	keyWindow = 10 * time.Minute
+	// sweepEvery is the number of ticks between sweeps for expired journals.
+	sweepInterval = 120
+	// keyWindow is how long a create request may be resent under its
+	// idempotency key.
+	idempotencyWindow = 10 * time.Minute
 	// peerTimeout bounds one journal message.
 	peerTimeout = 2 * time.Second
-	// campaignPause is the least time between two campaigns for one run.
-	campaignPause = 500 * time.Millisecond
+	// campaignPause is the minimum time between two campaigns for a run.
+	campaignBackoff = 500 * time.Millisecond
 )
 
-// Host holds all runs of an instance. Set the exported fields before Run.
+// Host manages the runs of an instance. The exported fields must be set before
+// Run.
 type Host struct {
 	Instance string
 	Domain   string
-	// Incarnation is the number of this life of the process.
+	// Incarnation identifies the process since its start.
 	Incarnation uint64
-	// StorageIncarnation is the number of the disk's life; 0 without a disk.
+	// StorageIncarnation identifies the disk's contents; it is 0 without a disk.
 	StorageIncarnation uint64
 	Peers              PeerClient
 	// Backends sends calls to endpoints.
@@ -46,45 +48,47 @@
 	// Store is nil without a disk.
 	Store      Store
 	Dispatcher *dispatch.Dispatcher
-	// Config and View return what is in force; both are read on every request.
+	// Config and View return the current configuration and membership. They are
+	// called on every request.
 	Config func() *control.Snapshot
 	View   func() *roster.View
-	// Learned reports whether the configuration is known to be the newest.
+	// Learned reports whether the configuration is known to be up to date.
 	Learned func() bool
-	// ConfigAge returns how long ago a control instance confirmed it.
+	// ConfigAge returns the time since a control instance confirmed the
+	// configuration.
 	ConfigAge func() time.Duration
-	// Lease is how old an intent may be when its call is sent.
+	// Lease is the maximum age of an intent when its call is sent.
 	Lease time.Duration
-	// CallTimeout bounds a request at its entry.
+	// CallTimeout bounds the processing of a request.
 	CallTimeout time.Duration
-	// Retention is how long an ended run's journal is kept.
+	// Retention is how long the journal of an ended run is kept.
 	Retention time.Duration
-	// DiskFailed is told once when a sync fails; the process must end then.
+	// DiskFailed is called when a sync fails; the process must then exit.
 	DiskFailed func(error)
 	Log        *logrus.Entry
 	Metrics    tally.Scope
 
 	shards [64]shard
-	rounds atomic.Uint64
+	round  atomic.Uint64
 	calls  atomic.Uint64
-	// stopping is set once and never cleared.
+	// stopping is never cleared once it is set.
 	stopping atomic.Bool
 	started  time.Time
-	begun    sync.Once
-	// repairing counts owned runs that a loss would leave with too few copies, as
-	// of the last tick; owned and held count runs.
-	repairing, owned, held atomic.Int64
-	// hints remembers owners of runs that were asked for here.
-	hints hints
+	initOnce sync.Once
+	// underReplicated counts runs that lack replicas, owned the owned runs and
+	// replicated the others, all as of the last tick.
+	underReplicated, owned, replicated atomic.Int64
+	// owners caches the owners of runs requested on this instance.
+	owners ownerCache
 }
 
-// shard is a part of the runs under one lock.
+// shard holds a part of the runs to reduce lock contention.
 type shard struct {
 	mu   sync.Mutex
 	runs map[string]*run
 }
 
-// self returns the own member of a new journal.
+// self returns the journal member of this instance.
 func (h *Host) self() journal.Member {
 	if h.StorageIncarnation != 0 {
 		return journal.NewMember(h.Instance, h.StorageIncarnation).WithDisk()
@@ -93,23 +97,23 @@
 }
 
 // begin sets what the first event needs.
-func (h *Host) begin() {
-	h.begun.Do(func() { h.started = time.Now() })
+func (h *Host) init() {
+	h.initOnce.Do(func() { h.started = time.Now() })
 }
 
-// Restore hands over a journal that the disk kept.
-func (h *Host) Restore(name string, r *journal.Replica) {
-	h.begin()
-	one := h.run(name, true)
-	one.mu.Lock()
-	defer one.mu.Unlock()
-	one.replica = r
-	one.changed = time.Now()
+// Restore adds a journal that was loaded from disk.
+func (h *Host) Restore(name string, replica *journal.Replica) {
+	h.init()
+	r := h.findRun(name, true)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.replica = replica
+	r.changedAt = time.Now()
 }
 
-// Run ticks until ctx ends.
+// Run ticks all runs until ctx is done.
 func (h *Host) Run(ctx context.Context) {
-	h.begin()
+	h.init()
 	h.loop(ctx)
 }
 
@@ -121,57 +125,58 @@
 		case <-ctx.Done():
 			return
 		case <-t.C:
-			h.tick(n%sweepEvery == 0)
+			h.tick(n%sweepInterval == 0)
 		}
 	}
 }
 
-// tick steps all owned runs and takes over those whose owner is dead.
+// tick ticks all owned runs and takes over runs whose owner is dead.
 func (h *Host) tick(sweep bool) {
 	view := h.View()
-	repairing, owned, held := int64(0), int64(0), int64(0)
-	for _, r := range h.all() {
+	underReplicated, owned, replicated := int64(0), int64(0), int64(0)
+	for _, r := range h.allRuns() {
 		if r.owned() {
 			owned++
-			if r.exposed() {
-				repairing++
+			if r.underReplicated() {
+				underReplicated++
 			}
 			r.tick(view)
 			if sweep {
-				r.rest()
+				r.releaseIfSettled()
 			}
 			continue
 		}
-		held++
-		if h.Learned() && r.orphaned(view) {
-			// Until the run is owned nobody copies it anew.
-			repairing++
-			r.claim(claimed{view: view})
+		replicated++
+		if h.Learned() && r.needsOwner(view) {
+			// A run without an owner is not re-replicated.
+			underReplicated++
+			r.claim(claimOptions{view: view})
 		}
-		if sweep && r.over(h.Retention) {
-			h.drop(r)
+		if sweep && r.expired(h.Retention) {
+			h.removeRun(r)
 		}
 	}
-	h.repairing.Store(repairing)
+	h.underReplicated.Store(underReplicated)
 	h.owned.Store(owned)
-	h.held.Store(held)
+	h.replicated.Store(replicated)
 	h.Metrics.Gauge("runs_owned").Update(float64(owned))
-	h.Metrics.Gauge("runs_replicated").Update(float64(held))
-	h.Metrics.Gauge("runs_repairing").Update(float64(repairing))
+	h.Metrics.Gauge("runs_replicated").Update(float64(replicated))
+	h.Metrics.Gauge("runs_repairing").Update(float64(underReplicated))
 	h.Metrics.Gauge("calls_queued").Update(float64(h.Dispatcher.QueueLen()))
 }
 
-// RunCounts returns owned runs, replicated runs, and owned runs that lack replicas.
-func (h *Host) RunCounts() (owned, held, repairing int64) {
-	return h.owned.Load(), h.held.Load(), h.repairing.Load()
+// RunCounts returns the numbers of owned runs, of runs replicated for other
+// owners, and of runs that lack replicas.
+func (h *Host) RunCounts() (owned, replicated, underReplicated int64) {
+	return h.owned.Load(), h.replicated.Load(), h.underReplicated.Load()
 }
 
-// Stop refuses new work and reports, when called again, how many runs still
-// have a call under way.
+// Stop refuses new work and returns the number of runs with a call in progress.
+// It may be called repeatedly.
 func (h *Host) Stop() int {
 	h.stopping.Store(true)
 	busy := 0
-	for _, r := range h.all() {
+	for _, r := range h.allRuns() {
 		if r.busy() {
 			busy++
 		}
@@ -179,8 +184,8 @@
 	return busy
 }
 
-// run finds or makes the run of a name.
-func (h *Host) run(name string, create bool) *run {
+// findRun returns the run of a name, and creates it if requested.
+func (h *Host) findRun(name string, create bool) *run {
 	s := h.shard(name)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -190,7 +195,7 @@
 			s.runs = map[string]*run{}
 		}
 		r = &run{host: h, name: name, callers: map[program.CallID]*stream{}}
-		r.box.Step = r.step
+		r.mailbox.Step = r.step
 		s.runs[name] = r
 	}
 	return r
@@ -204,8 +209,8 @@
 	return &h.shards[sum%uint32(len(h.shards))]
 }
 
-// all returns the runs of this moment.
-func (h *Host) all() []*run {
+// allRuns returns all current runs.
+func (h *Host) allRuns() []*run {
 	var out []*run
 	for i := range h.shards {
 		s := &h.shards[i]
@@ -218,8 +223,8 @@
 	return out
 }
 
-// drop forgets a run that has ended long ago.
-func (h *Host) drop(r *run) {
+// removeRun deletes a run and its journal.
+func (h *Host) removeRun(r *run) {
 	s := h.shard(r.name)
 	s.mu.Lock()
 	delete(s.runs, r.name)
@@ -229,8 +234,8 @@
 	}
 }
 
-// pause returns a random time before the next campaign, so that two instances
-// that want one run do not depose each other without end.
-func pause() time.Duration {
-	return campaignPause + time.Duration(rand.Int64N(int64(campaignPause)))
+// randomBackoff returns a random time before the next campaign, so that two
+// competing instances do not keep deposing each other.
+func randomBackoff() time.Duration {
+	return campaignBackoff + time.Duration(rand.Int64N(int64(campaignBackoff)))
 }
--- a/rockbarrow/host/perform.go
+++ b/rockbarrow/host/perform.go
@@ -17,34 +17,35 @@
 	"rockbarrow.dev/schema/recordpb"
 )
 
-// seated is the seat of an attempt.
-type seated struct {
-	seat    *dispatch.Slot
+// attemptSlot is the dispatcher slot that an attempt occupies.
+type attemptSlot struct {
+	slot    *dispatch.Slot
 	attempt uint32
-	// cancel stops the attempt once it was sent; sent is true from then on.
+	// cancel aborts the attempt; it is set and sent is true once the attempt was
+	// sent.
 	cancel context.CancelFunc
 	sent   bool
 }
 
-// release returns a seat that was never used.
-func (s *seated) release() { s.seat.Release(placement.Result{OK: true}) }
+// release returns a slot that was not used.
+func (s *attemptSlot) release() { s.slot.Release(placement.Result{OK: true}) }
 
-// unusedSeat takes the seat away when its attempt came to nothing before it
-// was sent. Called with mu held.
-func (r *run) unusedSeat() *seated {
-	s := r.seat
+// takeUnusedSlot removes and returns the slot of an attempt that ended before
+// it was sent. The caller must hold mu.
+func (r *run) takeUnusedSlot() *attemptSlot {
+	s := r.slot
 	if s == nil || s.sent || r.owner == nil || r.owner.Machine.UsesSlot(s.attempt) {
 		return nil
 	}
-	r.seat = nil
+	r.slot = nil
 	return s
 }
 
-// do performs one action of the program.
-func (r *run) do(o *owner.Owner, a program.Action) {
+// performProgram performs an action of the program.
+func (r *run) performProgram(o *owner.Owner, a program.Action) {
 	switch a := a.(type) {
 	case program.Reply:
-		r.tell(a.ID, a.Event, a.Done)
+		r.notifyCaller(a.ID, a.Event, a.Done)
 	case program.Place:
 		r.place(o, a)
 	case program.Dispatch:
@@ -52,17 +53,17 @@
 	case program.Abort:
 		r.abort(a)
 	case program.ReleaseMemory:
-		go (&release{run: r, endpoint: a.Endpoint}).loop()
+		go (&engineRelease{run: r, endpoint: a.Endpoint}).loop()
 	case program.ReturnBudget:
-		go (&credit{run: r, action: a, customer: o.Machine.State().Created().GetCustomer()}).loop()
+		go (&budgetReturn{run: r, action: a, customer: o.Machine.State().Created().GetCustomer()}).loop()
 	}
 }
 
-// place submits a call to the desk.
+// place submits a call to the dispatcher.
 func (r *run) place(o *owner.Owner, a program.Place) {
 	created := o.Machine.State().Created()
 	s := r.host.Config()
-	if p := r.refusal(s, created, a.EntryDomain); p != nil {
+	if p := r.checkConfig(s, created, a.EntryDomain); p != nil {
 		r.post(owner.ProgramEvent{Event: program.PlacementFailed{Sequence: a.Sequence, Attempt: a.Attempt, Problem: p}})
 		return
 	}
@@ -77,8 +78,8 @@
 		Weight:   customer.GetWeight(),
 		MaxCalls: customer.GetMaxCalls(),
 		Request: placement.Request{
-			Class:          classOf(created),
-			PromptTokens:   promptOf(bounds),
+			Class:          placementClass(created),
+			PromptTokens:   promptTokens(bounds),
 			OutputTokens:   int64(a.AnswerTokens),
 			Prefixes:       r.host.Dispatcher.Prefixes.Find(bounds),
 			LastEndpoint:   incarnation.ID{EndpointID: a.LastEndpoint},
@@ -88,24 +89,25 @@
 		Started:         time.UnixMilli(o.Machine.State().CreatedMS()),
 		Retry:           a.Attempt > 1,
 	}
-	job.Placed = func(seat *dispatch.Slot) { r.placed(a, seat, s.Version()) }
+	job.Placed = func(slot *dispatch.Slot) { r.placed(a, slot, s.Version()) }
 	job.Rejected = func(p *peerpb.Problem) {
 		r.post(owner.ProgramEvent{Event: program.PlacementFailed{Sequence: a.Sequence, Attempt: a.Attempt, Problem: p}})
 	}
 	r.host.Dispatcher.Submit(job)
 }
 
-// refusal tells why a run may not call now, before any endpoint is looked for.
-func (r *run) refusal(s *control.Snapshot, created *recordpb.Created, entry string) *peerpb.Problem {
+// checkConfig returns a problem if the configuration does not allow the run to
+// make a call now.
+func (r *run) checkConfig(s *control.Snapshot, created *recordpb.Created, entry string) *peerpb.Problem {
 	if !r.host.Learned() {
-		return problem.Retry(problem.NotServing, "this instance does not know the newest configuration yet", time.Second)
+		return problem.Retry(problem.NotServing, "this instance does not have the latest configuration yet", time.Second)
 	}
 	b, ok := s.Binding(created.GetBinding())
 	if !ok {
 		return problem.New(problem.NotServing, "the run's binding was removed")
 	}
 	if !b.Allows(r.host.Domain) {
-		return problem.New(problem.NotServing, "the run's home is no allowed place any more")
+		return problem.New(problem.NotServing, "the run's home failure domain is no longer allowed")
 	}
 	if b.Proto().GetForbidRelay() && entry != "" && !b.Allows(entry) {
 		return problem.New(problem.PlaceForbidden, "the binding forbids calls through failure domain "+entry)
@@ -116,46 +118,46 @@
 	return nil
 }
 
-func classOf(c *recordpb.Created) placement.Class {
+func placementClass(c *recordpb.Created) placement.Class {
 	return placement.Class{Model: c.GetModel(), Service: c.GetService(), Binding: c.GetBinding()}
 }
 
-func promptOf(bounds []placement.Boundary) int64 {
+func promptTokens(bounds []placement.Boundary) int64 {
 	if len(bounds) == 0 {
 		return 0
 	}
 	return bounds[len(bounds)-1].Tokens
 }
 
-func (r *run) placed(a program.Place, seat *dispatch.Slot, version uint64) {
-	s := &seated{seat: seat, attempt: a.Attempt}
+func (r *run) placed(a program.Place, slot *dispatch.Slot, version uint64) {
+	s := &attemptSlot{slot: slot, attempt: a.Attempt}
 	r.mu.Lock()
-	old := r.seat
-	r.seat = s
+	old := r.slot
+	r.slot = s
 	r.mu.Unlock()
 	if old != nil && !old.sent {
 		old.release()
 	}
-	e := seat.Choice().Endpoint()
+	e := slot.Choice().Endpoint()
 	r.post(owner.ProgramEvent{Event: program.Placed{
 		Sequence:      a.Sequence,
 		Attempt:       a.Attempt,
 		Endpoint:      e.Name(),
 		Domain:        e.Domain(),
 		ConfigVersion: version,
-		Reason:        reasonOf(seat.Choice()),
+		Reason:        placementReason(slot.Choice()),
 		Hold:          len(e.Config().GetModels()) > 0,
 	}})
 }
 
-// dispatch sends an attempt whose intent has committed.
+// dispatch sends an attempt whose intent is committed.
 func (r *run) dispatch(o *owner.Owner, a program.Dispatch) {
 	attempt := a.Intent.GetAttempt()
 	r.mu.Lock()
-	s := r.seat
+	s := r.slot
 	if s == nil || s.attempt != attempt {
 		r.mu.Unlock()
-		r.post(owner.ProgramEvent{Event: program.AttemptFailed{Sequence: a.Intent.GetSequence(), Attempt: attempt, NotRun: true, Reason: "the seat was lost"}})
+		r.post(owner.ProgramEvent{Event: program.AttemptFailed{Sequence: a.Intent.GetSequence(), Attempt: attempt, NotRun: true, Reason: "the slot was lost before the attempt was sent"}})
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), r.host.CallTimeout)
@@ -163,14 +165,14 @@
 	s.sent = true
 	r.mu.Unlock()
 	state := o.Machine.State()
-	w := &sending{
-		run: r, seat: s, ctx: ctx, version: a.Intent.GetConfigVersion(),
+	w := &attemptSender{
+		run: r, slot: s, ctx: ctx, version: a.Intent.GetConfigVersion(),
 		attempt: Attempt{
 			Run:              r.name,
 			Created:          state.Created(),
 			Intent:           a.Intent,
 			History:          a.History,
-			Endpoint:         s.seat.Choice().Endpoint().Config(),
+			Endpoint:         s.slot.Choice().Endpoint().Config(),
 			PrefixBoundaries: placement.Boundaries(a.History),
 			Priority:         state.Spent(),
 			Deadline:         a.ProposedAt.Add(r.host.Lease),
@@ -181,7 +183,7 @@
 
 func (r *run) abort(a program.Abort) {
 	r.mu.Lock()
-	s := r.seat
+	s := r.slot
 	r.mu.Unlock()
 	if s != nil && s.attempt == a.Attempt && s.cancel != nil {
 		s.cancel()
--- a/rockbarrow/host/ports.go
+++ b/rockbarrow/host/ports.go
@@ -13,42 +13,44 @@
 	"rockbarrow.dev/schema/recordpb"
 )
 
-// PeerClient reaches other instances.
+// PeerClient sends requests to other instances.
 type PeerClient interface {
-	// Journal carries one message to a replica and returns its reply. An error
-	// says nothing of whether the message arrived.
+	// Journal sends a message to a replica and returns its reply. After an error
+	// the message may or may not have arrived.
 	Journal(ctx context.Context, name string, to journal.Member, m journal.Message) (journal.Reply, error)
-	// Do passes a caller's request on and hands each event back. An error says
-	// nothing of whether the request arrived.
+	// Do forwards a request and passes its events to emit. After an error the
+	// request may or may not have arrived.
 	Do(ctx context.Context, instance string, req *peerpb.DoRequest, emit func(*peerpb.DoEvent) error) error
 }
 
-// Attempt is one sending of a call.
+// Attempt is one attempt to send a call to an endpoint.
 type Attempt struct {
 	Run      string
 	Created  *recordpb.Created
 	Intent   *recordpb.Intent
 	History  []*recordpb.Message
 	Endpoint *configpb.Endpoint
-	// PrefixBoundaries name the prompt's prefixes to the engine.
+	// PrefixBoundaries identify the prefixes of the prompt to the engine.
 	PrefixBoundaries []placement.Boundary
-	// Priority is smaller for runs that have had less service.
+	// Priority is lower for runs that have received less service.
 	Priority uint64
-	// Deadline is when an unsent attempt must not be sent any more.
+	// Deadline is the time after which the attempt must not be sent.
 	Deadline time.Time
 }
 
-// Result is what an attempt came to.
+// Result is the result of an attempt.
 type Result struct {
-	// Answer is the whole answer, or nil.
+	// Answer is the complete answer, or nil on failure.
 	Answer *recordpb.Answered
-	// NotExecuted is true only when the endpoint certainly did not run it.
+	// NotExecuted is true only if the endpoint certainly did not execute the
+	// call.
 	NotExecuted bool
-	// Permanent is true when another endpoint would refuse it too.
+	// Permanent is true if other endpoints would reject the call too.
 	Permanent bool
 	// Reason describes a failure.
 	Reason string
-	// TimeToFirstToken and Duration are the times to the first and the last token.
+	// TimeToFirstToken and Duration are the times to the first and the last
+	// token.
 	TimeToFirstToken, Duration time.Duration
 }
 
@@ -56,14 +58,14 @@
 type Backends interface {
 	// Call sends an attempt and streams its answer.
 	Call(ctx context.Context, a Attempt, emit func(offset uint64, content string)) Result
-	// Release asks an engine to free what it holds for a run.
+	// Release asks an engine to free the resources that it holds for a run.
 	Release(ctx context.Context, e *configpb.Endpoint, run string) error
 }
 
-// Store keeps journals on a disk.
+// Store stores journals on disk.
 type Store interface {
-	// Enqueue keeps a change, in the order of the calls. The returned function
-	// waits for the sync; any number may call it.
+	// Enqueue stores a change after those of earlier calls. The returned
+	// function waits for the sync and may be called several times.
 	Enqueue(name string, c journal.Change) func() error
 	// Drop removes a journal.
 	Drop(name string) func() error
--- a/rockbarrow/host/replica.go
+++ b/rockbarrow/host/replica.go
@@ -10,50 +10,51 @@
 	"rockbarrow.dev/rockbarrow/owner"
 )
 
-// Journal hands a peer's message to the own copy of a journal. The reply comes
-// once what it promises is as durable as this instance can make it; it is nil
-// when the disk failed or is being closed, which says nothing of a later life.
+// Journal passes a peer's message to the local replica of a journal. It
+// replies once the promise in the reply is as durable as this instance can
+// make it. The reply is nil if the disk failed or is being closed.
 func (h *Host) Journal(name string, to journal.Member, m journal.Message) journal.Reply {
-	h.begin()
-	if !h.addressed(to) {
+	h.init()
+	if !h.isLocalMember(to) {
 		return journal.NonVoting{}
 	}
-	return h.run(name, true).message(to, m)
+	return h.findRun(name, true).handleMessage(to, m)
 }
 
-// addressed reports whether a member is this life of this instance. A witness
-// lives in memory, so its life is the process's.
-func (h *Host) addressed(to journal.Member) bool {
+// isLocalMember reports whether a member is the current incarnation of this
+// instance. A witness is kept in memory, so its incarnation is that of the
+// process.
+func (h *Host) isLocalMember(to journal.Member) bool {
 	if to.Witness() {
 		return to.Instance() == h.Instance && to.Incarnation() == h.Incarnation
 	}
 	return to.Is(h.self())
 }
 
-// message steps the replica and waits for the disk.
-func (r *run) message(to journal.Member, m journal.Message) journal.Reply {
+// handleMessage passes a message to the replica and waits for the disk.
+func (r *run) handleMessage(to journal.Member, m journal.Message) journal.Reply {
 	r.replicaMu.Lock()
 	if r.replica == nil {
-		fresh := r.host.StorageIncarnation == 0 && time.Since(r.host.started) < keyWindow
+		fresh := r.host.StorageIncarnation == 0 && time.Since(r.host.started) < idempotencyWindow
 		r.replica = &journal.Replica{Witness: to.Witness(), Fresh: fresh}
 	}
 	reply, change := r.replica.Handle(m)
 	if len(change.Entries) > 0 || change.Base != nil {
-		r.changed = time.Now()
+		r.changedAt = time.Now()
 	}
 	if r.host.Store == nil || to.Witness() {
 		r.replicaMu.Unlock()
 		return reply
 	}
 	if change.Durable {
-		r.synced = r.host.Store.Enqueue(r.name, change)
+		r.waitForSync = r.host.Store.Enqueue(r.name, change)
 	}
-	synced := r.synced
+	waitForSync := r.waitForSync
 	r.replicaMu.Unlock()
-	if synced == nil {
+	if waitForSync == nil {
 		return reply
 	}
-	if err := synced(); err != nil {
+	if err := waitForSync(); err != nil {
 		r.replicaMu.Lock()
 		r.replica.Fail()
 		r.replicaMu.Unlock()
@@ -63,26 +64,26 @@
 	return reply
 }
 
-// send carries a journal message, to the own copy or to a peer.
+// send sends a journal message to the local replica or to a peer.
 func (r *run) send(a owner.Send) {
 	d := &delivery{run: r, to: a.To, message: a.Message}
-	if r.host.addressed(a.To) && r.host.Store == nil {
-		d.toOwn()
+	if r.host.isLocalMember(a.To) && r.host.Store == nil {
+		d.deliverLocally()
 		return
 	}
 	go d.loop()
 }
 
-// delivery is one message on its way.
+// delivery is a journal message being sent.
 type delivery struct {
 	run     *run
 	to      journal.Member
 	message journal.Message
 }
 
-// toOwn delivers to the own copy in memory, without another goroutine.
-func (d *delivery) toOwn() {
-	reply := d.run.message(d.to, d.message)
+// deliverLocally passes the message to the local replica.
+func (d *delivery) deliverLocally() {
+	reply := d.run.handleMessage(d.to, d.message)
 	if reply == nil {
 		d.run.post(owner.NoReply{To: d.to})
 		return
@@ -91,8 +92,8 @@
 }
 
 func (d *delivery) loop() {
-	if d.run.host.addressed(d.to) {
-		d.toOwn()
+	if d.run.host.isLocalMember(d.to) {
+		d.deliverLocally()
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), peerTimeout)
--- a/rockbarrow/host/route.go
+++ b/rockbarrow/host/route.go
@@ -15,108 +15,111 @@
 )
 
 const (
-	// maxHints bounds the remembered owners.
-	maxHints = 16_384
-	// askPause is how long the entry waits before it asks all again.
-	askPause = 100 * time.Millisecond
-	// unknownRounds is how often all instances of a home are asked before a run
-	// that none knows is called unknown.
-	unknownRounds = 2
-	// searchTime bounds the search for an instance that takes the request.
-	searchTime = 15 * time.Second
+	// maxCachedOwners bounds the owner cache.
+	maxCachedOwners = 16_384
+	// searchBackoff is the pause before all instances are tried again.
+	searchBackoff = 100 * time.Millisecond
+	// notFoundRounds is the number of rounds after which a run that no instance
+	// knows is reported as not found.
+	notFoundRounds = 2
+	// searchTimeout bounds the search for an instance that accepts the request.
+	searchTimeout = 15 * time.Second
 )
 
-// hints remembers which instance owned a run last; a wrong one costs a redirect.
-type hints struct {
+// ownerCache maps runs to their last known owners. A stale entry costs a
+// redirect.
+type ownerCache struct {
 	mu     sync.Mutex
 	owners map[string]string
 }
 
-func (t *hints) get(run string) string {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return t.owners[run]
+func (c *ownerCache) get(run string) string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.owners[run]
 }
 
-func (t *hints) put(run, instance string) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.owners == nil || len(t.owners) >= maxHints {
-		t.owners = map[string]string{}
+func (c *ownerCache) put(run, instance string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.owners == nil || len(c.owners) >= maxCachedOwners {
+		c.owners = map[string]string{}
 	}
-	t.owners[run] = instance
+	c.owners[run] = instance
 }
 
-// route is the way of one request to the run's owner.
-type route struct {
+// router forwards one request to the run's owner.
+type router struct {
 	host *Host
 	req  *peerpb.DoRequest
 	emit func(*peerpb.DoEvent) error
-	// forwarded is true once the request may have reached an owner, after which
-	// only the owner can say that it did not run.
+	// forwarded is set once the request may have reached an owner. From then on
+	// only the owner can tell that it was not executed.
 	forwarded bool
-	// emitErr is the caller's own error, which ends the route.
+	// emitErr is an error of the caller's emit function, which ends the request.
 	emitErr error
-	// last is the newest refusal of an instance that could not serve.
-	last *peerpb.Problem
-	// attempt and offset tell how much of the stream the caller has.
+	// lastProblem is the last reply of an instance that could not serve.
+	lastProblem *peerpb.Problem
+	// attempt and offset are the position in the stream up to which the caller
+	// has received it.
 	attempt uint32
 	offset  uint64
 	started time.Time
 }
 
-// Do carries a request to the run's owner and hands its events to emit. It asks
-// again after a redirect or a lost connection, which is safe as the request
-// keeps its id, until ctx or the call timeout ends it.
+// Do forwards a request to the run's owner and passes its events to emit. It
+// retries after a redirect or a lost connection, which is safe because the
+// request keeps its id, until ctx is done or the call timeout expires.
 func (h *Host) Do(ctx context.Context, req *peerpb.DoRequest, emit func(*peerpb.DoEvent) error) error {
 	ctx, cancel := context.WithTimeout(ctx, h.CallTimeout)
 	defer cancel()
-	w := &route{host: h, req: req, emit: emit, started: time.Now()}
+	r := &router{host: h, req: req, emit: emit, started: time.Now()}
 	for round := 0; ; round++ {
-		known, done := w.askAll(ctx)
+		known, done := r.tryAll(ctx)
 		if done {
-			return w.emitErr
+			return r.emitErr
 		}
 		if ctx.Err() != nil {
-			return emit(problem.Event(w.verdict()))
+			return emit(problem.Event(r.finalProblem()))
 		}
-		if !known && round+1 >= unknownRounds {
-			return emit(problem.Event(w.unknown()))
+		if !known && round+1 >= notFoundRounds {
+			return emit(problem.Event(r.notFoundProblem()))
 		}
-		if time.Since(w.started) > searchTime {
-			return emit(problem.Event(w.verdict()))
+		if time.Since(r.started) > searchTimeout {
+			return emit(problem.Event(r.finalProblem()))
 		}
 		select {
 		case <-ctx.Done():
-			return emit(problem.Event(w.verdict()))
-		case <-time.After(askPause):
+			return emit(problem.Event(r.finalProblem()))
+		case <-time.After(searchBackoff):
 		}
 	}
 }
 
-// unknown is the refusal of a run that no instance of its home knows.
-func (w *route) unknown() *peerpb.Problem {
-	if !w.forwarded && w.allAnswered() {
+// notFoundProblem returns the reply for a run that no instance of its home
+// failure domain knows.
+func (r *router) notFoundProblem() *peerpb.Problem {
+	if !r.forwarded && r.allInstancesKnown() {
 		return problem.New(problem.NotFound, "there is no such run")
 	}
-	return w.verdict()
+	return r.finalProblem()
 }
 
-// verdict is what is certain when the time is over.
-func (w *route) verdict() *peerpb.Problem {
-	if w.forwarded && w.last == nil {
+// finalProblem returns the reply when the request has timed out.
+func (r *router) finalProblem() *peerpb.Problem {
+	if r.forwarded && r.lastProblem == nil {
 		return problem.Retry(problem.Undetermined, "resend under the same request id to learn the outcome", time.Second)
 	}
-	if w.last != nil {
-		return w.last
+	if r.lastProblem != nil {
+		return r.lastProblem
 	}
-	return problem.Retry(problem.NotServing, "no instance of the run's home could be asked", time.Second)
+	return problem.Retry(problem.NotServing, "no instance of the run's home failure domain could be reached", time.Second)
 }
 
-// allAnswered reports whether no instance of the home is missing that could
-// know the run.
-func (w *route) allAnswered() bool {
-	for _, i := range w.host.View().RankByKey(w.req.GetRun(), HomeDomain(w.req.GetRun()), true) {
+// allInstancesKnown reports whether the state of all instances that could know
+// the run is known and none of them is dead.
+func (r *router) allInstancesKnown() bool {
+	for _, i := range r.host.View().RankByKey(r.req.GetRun(), HomeDomain(r.req.GetRun()), true) {
 		if i.State() == roster.Dead || i.State() == roster.Unknown {
 			return false
 		}
@@ -124,22 +127,23 @@
 	return true
 }
 
-// askAll asks the likely owner first and then the others of the home, in order.
-// It reports whether any knew the run, and whether the request is settled.
-func (w *route) askAll(ctx context.Context) (known, done bool) {
-	run := w.req.GetRun()
-	if hint := w.host.hints.get(run); hint != "" {
-		k, d := w.follow(ctx, hint)
+// tryAll tries the cached owner first and then the instances of the run's home
+// failure domain by rank. It reports whether any of them knew the run and
+// whether the request is completed.
+func (r *router) tryAll(ctx context.Context) (known, done bool) {
+	run := r.req.GetRun()
+	if cached := r.host.owners.get(run); cached != "" {
+		k, d := r.tryWithRedirects(ctx, cached)
 		if d {
 			return true, true
 		}
 		known = known || k
 	}
-	for _, i := range w.host.View().RankByKey(run, HomeDomain(run), true) {
+	for _, i := range r.host.View().RankByKey(run, HomeDomain(run), true) {
 		if i.State() == roster.Dead || ctx.Err() != nil {
 			continue
 		}
-		k, d := w.follow(ctx, i.Instance())
+		k, d := r.tryWithRedirects(ctx, i.Instance())
 		if d {
 			return true, true
 		}
@@ -148,18 +152,19 @@
 	return known, false
 }
 
-// follow asks an instance and goes where it redirects, a few times.
-func (w *route) follow(ctx context.Context, instance string) (known, done bool) {
-	const most = 4
+// tryWithRedirects tries an instance and follows a limited number of
+// redirects.
+func (r *router) tryWithRedirects(ctx context.Context, instance string) (known, done bool) {
+	const maxRedirects = 4
 	takeOver := false
-	for range most {
-		next, settled := w.ask(ctx, instance, takeOver)
+	for range maxRedirects {
+		next, settled := r.try(ctx, instance, takeOver)
 		if settled {
-			w.host.hints.put(w.req.GetRun(), instance)
+			r.host.owners.put(r.req.GetRun(), instance)
 			return true, true
 		}
 		if next == nil {
-			return known || w.last != nil, false
+			return known || r.lastProblem != nil, false
 		}
 		if next.GetInstance() == "" || next.GetInstance() == instance {
 			return known, false
@@ -171,80 +176,82 @@
 	return known, false
 }
 
-// request returns the request as the next instance should get it.
-func (w *route) request(takeOver bool) *peerpb.DoRequest {
-	if !takeOver && w.attempt == 0 {
-		return w.req
+// request returns the request for the next instance, with the position at
+// which to resume the stream.
+func (r *router) request(takeOver bool) *peerpb.DoRequest {
+	if !takeOver && r.attempt == 0 {
+		return r.req
 	}
-	req := proto.CloneOf(w.req)
+	req := proto.CloneOf(r.req)
 	req.TakeOver = takeOver
-	if t := req.GetTurn(); t != nil && w.attempt != 0 {
-		t.ResumeAttempt = w.attempt
-		t.ResumeOffset = w.offset
+	if t := req.GetTurn(); t != nil && r.attempt != 0 {
+		t.ResumeAttempt = r.attempt
+		t.ResumeOffset = r.offset
 	}
 	return req
 }
 
-// ask sends the request to one instance. It returns a redirect to follow, or
-// nil when the instance could not be asked or cannot serve.
-func (w *route) ask(ctx context.Context, instance string, takeOver bool) (next *peerpb.Redirect, settled bool) {
-	req := w.request(takeOver)
+// try sends the request to one instance. It returns a redirect, or nil if the
+// instance could not be reached or cannot serve.
+func (r *router) try(ctx context.Context, instance string, takeOver bool) (next *peerpb.Redirect, settled bool) {
+	req := r.request(takeOver)
 	emit := func(e *peerpb.DoEvent) error {
 		switch b := e.GetBody().(type) {
 		case *peerpb.DoEvent_Redirect:
 			next = b.Redirect
 			return nil
 		case *peerpb.DoEvent_Delta:
-			w.attempt = b.Delta.GetAttempt()
-			w.offset = b.Delta.GetOffset() + uint64(len(b.Delta.GetContent()))
+			r.attempt = b.Delta.GetAttempt()
+			r.offset = b.Delta.GetOffset() + uint64(len(b.Delta.GetContent()))
 		case *peerpb.DoEvent_Problem:
-			if passing(b.Problem) {
-				w.last = b.Problem
+			if isTransient(b.Problem) {
+				r.lastProblem = b.Problem
 				return nil
 			}
 		}
-		settled = settled || final(e)
-		if err := w.emit(e); err != nil {
-			w.emitErr = err
+		settled = settled || isFinal(e)
+		if err := r.emit(e); err != nil {
+			r.emitErr = err
 			settled = true
 			return err
 		}
 		return nil
 	}
-	w.last = nil
+	r.lastProblem = nil
 	var err error
-	if instance == w.host.Instance {
-		err = w.host.Serve(ctx, req, emit)
+	if instance == r.host.Instance {
+		err = r.host.Serve(ctx, req, emit)
 	} else {
-		err = w.askPeer(ctx, instance, req, emit)
+		err = r.tryPeer(ctx, instance, req, emit)
 	}
-	// An instance that answered with a redirect or could not serve has not
-	// proposed anything; one that was lost on the way may have.
+	// An instance that replied with a redirect or could not serve has not proposed
+	// anything; one that failed during the request may have.
 	if err != nil {
-		w.forwarded = true
+		r.forwarded = true
 	}
 	return next, settled
 }
 
-// askPeer gives up on a peer that dies or restarts while it serves.
-func (w *route) askPeer(ctx context.Context, instance string, req *peerpb.DoRequest, emit func(*peerpb.DoEvent) error) error {
+// tryPeer sends the request to a peer and cancels it if the peer dies or
+// restarts.
+func (r *router) tryPeer(ctx context.Context, instance string, req *peerpb.DoRequest, emit func(*peerpb.DoEvent) error) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	i, _ := w.host.View().Find(instance)
-	go (&watch{host: w.host, instance: instance, incarnation: i.Heartbeat().Incarnation(), cancel: cancel}).loop(ctx)
-	return w.host.Peers.Do(ctx, instance, req, emit)
+	i, _ := r.host.View().Find(instance)
+	go (&peerMonitor{host: r.host, instance: instance, incarnation: i.Heartbeat().Incarnation(), cancel: cancel}).loop(ctx)
+	return r.host.Peers.Do(ctx, instance, req, emit)
 }
 
-// watch cancels a request to a peer whose life is over, as a connection to a
-// paused or cut-off peer may stay open.
-type watch struct {
+// peerMonitor cancels a request to a peer that died or restarted, because the
+// connection to a paused or disconnected peer may stay open.
+type peerMonitor struct {
 	host        *Host
 	instance    string
 	incarnation uint64
 	cancel      context.CancelFunc
 }
 
-func (w *watch) loop(ctx context.Context) {
+func (m *peerMonitor) loop(ctx context.Context) {
 	t := time.NewTicker(tickPeriod)
 	defer t.Stop()
 	for {
@@ -252,20 +259,20 @@
 		case <-ctx.Done():
 			return
 		case <-t.C:
-			i, _ := w.host.View().Find(w.instance)
-			if i.State() == roster.Dead || i.Heartbeat().Incarnation() != w.incarnation {
-				w.cancel()
+			i, _ := m.host.View().Find(m.instance)
+			if i.State() == roster.Dead || i.Heartbeat().Incarnation() != m.incarnation {
+				m.cancel()
 				return
 			}
 		}
 	}
 }
 
-// passing reports whether a refusal is about the instance, not the request, so
-// that another instance or a later try may serve.
-func passing(p *peerpb.Problem) bool { return p.GetType() == string(problem.NotServing) }
+// isTransient reports whether a problem concerns the instance and not the
+// request, so that another instance or a later attempt may succeed.
+func isTransient(p *peerpb.Problem) bool { return p.GetType() == string(problem.NotServing) }
 
-func final(e *peerpb.DoEvent) bool {
+func isFinal(e *peerpb.DoEvent) bool {
 	switch e.GetBody().(type) {
 	case *peerpb.DoEvent_Final, *peerpb.DoEvent_Problem, *peerpb.DoEvent_View:
 		return true
--- a/rockbarrow/host/run.go
+++ b/rockbarrow/host/run.go
@@ -15,40 +15,42 @@
 	"rockbarrow.dev/schema/recordpb"
 )
 
-// run is one run that this instance owns or replicates.
+// run is a run that this instance owns or replicates.
 type run struct {
 	host *Host
 	name string
 
-	// box steps the owner.
-	box mailbox.Box[owner.Event]
+	// mailbox delivers events to the owner.
+	mailbox mailbox.Box[owner.Event]
 
-	// mu guards the fields below. It is not held while an action is done.
+	// mu guards the fields below. It is not held while actions are performed.
 	mu sync.Mutex
 	// owner is nil unless this instance owns the run.
 	owner *owner.Owner
-	// callers wait for events of the owner.
+	// callers receive events of the owner.
 	callers map[program.CallID]*stream
-	// seat belongs to the newest placement of the open call.
-	seat *seated
-	// next is when a campaign may start again.
-	next time.Time
-	// rested is true when the last ownership ended because nothing was left to do.
-	rested bool
+	// slot belongs to the most recent placement of the open call.
+	slot *attemptSlot
+	// nextCampaign is the earliest time of the next campaign.
+	nextCampaign time.Time
+	// released is set if the last ownership ended because the run was settled.
+	released bool
 
-	// replicaMu guards the own copy. It may be taken under mu, never around it.
+	// replicaMu guards the local replica. It may be acquired while mu is held,
+	// but not the other way around.
 	replicaMu sync.Mutex
 	replica   *journal.Replica
-	changed   time.Time
-	// synced waits for the newest change on its way to the disk; nil without one.
-	synced func() error
+	changedAt time.Time
+	// sync waits for the last change to be synced to disk; it is nil if there
+	// is none.
+	waitForSync func() error
 }
 
-// claimed is why a run is being taken.
-type claimed struct {
+// claimOptions describes how to claim a run.
+type claimOptions struct {
 	view  *roster.View
 	keyed bool
-	// create is true when an unknown run is to be made.
+	// create is set if the run is to be created.
 	create bool
 }
 
@@ -58,7 +60,7 @@
 	return r.owner != nil
 }
 
-func (r *run) exposed() bool {
+func (r *run) underReplicated() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.owner != nil && r.owner.AtRisk()
@@ -72,19 +74,20 @@
 
 func (r *run) tick(v *roster.View) { r.post(owner.Ticked{View: v}) }
 
-// rest gives an owned run up that has ended and owes nothing; a reader brings
-// it back.
-func (r *run) rest() {
+// releaseIfSettled gives up the ownership of a run that has ended and has no
+// pending work. A later request claims it again.
+func (r *run) releaseIfSettled() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.owner != nil && r.owner.Machine.Settled() {
 		r.owner = nil
-		r.rested = true
+		r.released = true
 	}
 }
 
-// log returns the members and the newest promised ballot of the own copy.
-func (r *run) log() (journal.Members, journal.Ballot, bool) {
+// membership returns the members and the highest promised ballot of the local
+// replica.
+func (r *run) membership() (journal.Members, journal.Ballot, bool) {
 	r.replicaMu.Lock()
 	defer r.replicaMu.Unlock()
 	if r.replica == nil || r.replica.Log().LastIndex() == 0 {
@@ -93,14 +96,16 @@
 	return r.replica.Log().Members(), r.replica.Promised(), true
 }
 
-// orphaned reports whether the owner is dead and this instance is next.
-func (r *run) orphaned(v *roster.View) bool {
-	members, ballot, ok := r.log()
+// needsOwner reports whether this instance should claim the run: its owner is
+// dead and this instance is the successor, or this process owned it last and
+// must own it again.
+func (r *run) needsOwner(v *roster.View) bool {
+	members, ballot, ok := r.membership()
 	if !ok {
 		return false
 	}
-	if r.host.wrote(ballot) {
-		return r.unrested() || owner.NeedsRepair(members, v, r.name, HomeDomain(r.name), r.host.self())
+	if r.host.isOwnBallot(ballot) {
+		return r.endedUnexpectedly() || owner.NeedsRepair(members, v, r.name, HomeDomain(r.name), r.host.self())
 	}
 	if v.IsWriterAlive(ballot) {
 		return false
@@ -109,25 +114,25 @@
 	return ok && m.Is(r.host.self())
 }
 
-// wrote reports whether a ballot is of this life of this instance.
-func (h *Host) wrote(b journal.Ballot) bool {
+// isOwnBallot reports whether a ballot was taken by this process.
+func (h *Host) isOwnBallot(b journal.Ballot) bool {
 	return b.Instance() == h.Instance && b.Incarnation() == h.Incarnation
 }
 
-// unrested reports whether an ownership ended otherwise than by a rest, so that
-// it has to be taken up again.
-func (r *run) unrested() bool {
+// endedUnexpectedly reports whether the last ownership ended before the run
+// was settled, so that the run has to be claimed again.
+func (r *run) endedUnexpectedly() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return !r.rested
+	return !r.released
 }
 
-// over reports whether the run ended, or a witness's journal stood still, for
-// longer than the retention.
-func (r *run) over(retention time.Duration) bool {
+// expired reports whether the run ended, or a witness's journal last changed,
+// longer ago than the retention.
+func (r *run) expired(retention time.Duration) bool {
 	r.replicaMu.Lock()
 	defer r.replicaMu.Unlock()
-	if r.replica == nil || time.Since(r.changed) < retention {
+	if r.replica == nil || time.Since(r.changedAt) < retention {
 		return false
 	}
 	if r.replica.Witness {
@@ -145,19 +150,20 @@
 	return false
 }
 
-// claim starts to own the run, unless a campaign was lost a moment ago.
-func (r *run) claim(c claimed) bool {
+// claim starts to own the run, unless the pause after a failed campaign is not
+// over.
+func (r *run) claim(c claimOptions) bool {
 	h := r.host
 	r.mu.Lock()
 	if r.owner != nil {
 		r.mu.Unlock()
 		return true
 	}
-	if time.Now().Before(r.next) {
+	if time.Now().Before(r.nextCampaign) {
 		r.mu.Unlock()
 		return false
 	}
-	r.next = time.Now().Add(pause())
+	r.nextCampaign = time.Now().Add(randomBackoff())
 	o := &owner.Owner{
 		Run:              r.name,
 		Domain:           HomeDomain(r.name),
@@ -173,27 +179,27 @@
 	o.Replica = r.replica
 	r.replicaMu.Unlock()
 	r.owner = o
-	r.rested = false
+	r.released = false
 	r.mu.Unlock()
 	h.Metrics.Counter("campaigns").Inc(1)
-	r.post(owner.Start{Round: h.rounds.Add(1)})
+	r.post(owner.Start{Round: h.round.Add(1)})
 	return true
 }
 
-// post hands events to the owner.
-func (r *run) post(events ...owner.Event) { r.box.Post(events...) }
+// post passes events to the owner.
+func (r *run) post(events ...owner.Event) { r.mailbox.Post(events...) }
 
-// step handles one event and does what follows from it.
+// step processes one event and performs the resulting actions.
 func (r *run) step(e owner.Event) {
 	r.mu.Lock()
 	o := r.owner
 	if o == nil {
 		r.mu.Unlock()
-		r.turnAway(e)
+		r.rejectEvent(e)
 		return
 	}
 	actions := r.handle(o, e)
-	idle := r.unusedSeat()
+	idle := r.takeUnusedSlot()
 	r.mu.Unlock()
 	if idle != nil {
 		idle.release()
@@ -203,7 +209,7 @@
 	}
 }
 
-// handle steps the owner, which copies the own replica when it starts.
+// handle steps the owner, which copies the local replica when it starts.
 func (r *run) handle(o *owner.Owner, e owner.Event) []owner.Action {
 	if _, ok := e.(owner.Start); ok {
 		r.replicaMu.Lock()
@@ -212,17 +218,17 @@
 	return o.Handle(time.Now(), e)
 }
 
-// turnAway answers a caller whose event met no owner.
-func (r *run) turnAway(e owner.Event) {
+// rejectEvent replies to the caller of an event that arrived without an owner.
+func (r *run) rejectEvent(e owner.Event) {
 	a, ok := e.(owner.ProgramEvent)
 	if !ok {
 		return
 	}
 	if p, ok := a.Event.(program.Placed); ok {
 		r.mu.Lock()
-		s := r.seat
+		s := r.slot
 		if s != nil && s.attempt == p.Attempt {
-			r.seat = nil
+			r.slot = nil
 		} else {
 			s = nil
 		}
@@ -234,15 +240,15 @@
 	}
 	var gone program.Machine
 	for _, act := range gone.Handle(time.Now(), program.OwnershipLost{}) {
-		r.do(nil, act)
+		r.performProgram(nil, act)
 	}
 	for _, act := range gone.Handle(time.Now(), a.Event) {
-		r.do(nil, act)
+		r.performProgram(nil, act)
 	}
 }
 
-// tell hands an event to a waiting caller.
-func (r *run) tell(id program.CallID, e *peerpb.DoEvent, done bool) {
+// notifyCaller passes an event to a waiting caller.
+func (r *run) notifyCaller(id program.CallID, e *peerpb.DoEvent, done bool) {
 	r.mu.Lock()
 	s := r.callers[id]
 	if done {
@@ -254,26 +260,27 @@
 	}
 }
 
-// perform does one action of the owner.
+// perform performs an action of the owner.
 func (r *run) perform(o *owner.Owner, a owner.Action) {
 	switch a := a.(type) {
 	case owner.Send:
 		r.send(a)
 	case owner.ProgramAction:
-		r.do(o, a.Action)
+		r.performProgram(o, a.Action)
 	case owner.OwnershipLost:
 		r.host.Metrics.Counter("deposed").Inc(1)
 		r.host.Log.WithField("run", r.name).WithField("by", a.By.String()).Info("another instance owns the run")
-		r.observe(a.By)
-		r.disown(o)
+		r.observeBallot(a.By)
+		r.dropOwner(o)
 	case owner.Abandoned:
 		r.host.Metrics.Counter("abandoned").Inc(1)
-		r.disown(o)
+		r.dropOwner(o)
 	}
 }
 
-// observe notes a newer ballot, so that requests are sent on to its writer.
-func (r *run) observe(b journal.Ballot) {
+// observeBallot records a higher ballot, so that requests are redirected to
+// its writer.
+func (r *run) observeBallot(b journal.Ballot) {
 	r.replicaMu.Lock()
 	defer r.replicaMu.Unlock()
 	if r.replica != nil {
@@ -281,16 +288,17 @@
 	}
 }
 
-// disown ends the ownership; an attempt under way goes on and is dropped.
-func (r *run) disown(o *owner.Owner) {
+// dropOwner ends the ownership. An attempt in progress continues and its
+// result is dropped.
+func (r *run) dropOwner(o *owner.Owner) {
 	r.mu.Lock()
 	if r.owner == o {
 		r.owner = nil
-		r.next = time.Now().Add(pause())
+		r.nextCampaign = time.Now().Add(randomBackoff())
 	}
-	s := r.seat
+	s := r.slot
 	if s != nil && !s.sent {
-		r.seat = nil
+		r.slot = nil
 	} else {
 		s = nil
 	}
--- a/rockbarrow/host/sending.go
+++ b/rockbarrow/host/sending.go
@@ -14,45 +14,45 @@
 	"rockbarrow.dev/schema/recordpb"
 )
 
-// sending is an attempt under way.
-type sending struct {
+// attemptSender sends an attempt and reports its result.
+type attemptSender struct {
 	run     *run
-	seat    *seated
+	slot    *attemptSlot
 	ctx     context.Context
 	attempt Attempt
 	version uint64
 }
 
-// loop sends the attempt, hands its stream to the run, and gives the seat back.
-func (w *sending) loop() {
-	defer w.seat.cancel()
+// loop sends the attempt, passes its stream to the run and releases the slot.
+func (w *attemptSender) loop() {
+	defer w.slot.cancel()
 	in := w.attempt.Intent
-	if reason := w.forbidden(); reason != "" {
-		w.seat.release()
+	if reason := w.checkBeforeSend(); reason != "" {
+		w.slot.release()
 		w.post(program.AttemptFailed{Sequence: in.GetSequence(), Attempt: in.GetAttempt(), NotRun: true, Reason: reason})
 		return
 	}
 	w.run.host.Metrics.Counter("attempts").Inc(1)
 	out := w.run.host.Backends.Call(w.ctx, w.attempt, w.emit)
-	w.seat.seat.Release(w.result(out))
+	w.slot.slot.Release(w.placementResult(out))
 	log := w.run.host.Log.WithField("run", w.run.name).WithField("call", in.GetSequence()).WithField("attempt", in.GetAttempt()).WithField("endpoint", in.GetEndpoint())
 	if out.Answer == nil {
-		log.WithField("not_run", out.NotExecuted).WithField("reason", out.Reason).Info("an attempt failed")
+		log.WithField("not_run", out.NotExecuted).WithField("reason", out.Reason).Info("attempt failed")
 		w.run.host.Metrics.Counter("attempts_failed").Inc(1)
 		w.post(program.AttemptFailed{Sequence: in.GetSequence(), Attempt: in.GetAttempt(), NotRun: out.NotExecuted, Reason: out.Reason, Final: out.Permanent})
 		return
 	}
-	log.WithField("first_token_ms", out.TimeToFirstToken.Milliseconds()).Debug("an attempt was answered")
-	w.remember(out.Answer)
+	log.WithField("first_token_ms", out.TimeToFirstToken.Milliseconds()).Debug("attempt succeeded")
+	w.recordPrefixes(out.Answer)
 	w.run.host.Metrics.Counter("prompt_tokens").Inc(int64(out.Answer.GetPromptTokens()))
 	w.run.host.Metrics.Counter("cached_tokens").Inc(int64(out.Answer.GetCachedTokens()))
 	w.run.host.Metrics.Timer("first_token").Record(out.TimeToFirstToken)
 	w.post(program.AttemptFinished{Sequence: in.GetSequence(), Attempt: in.GetAttempt(), Answered: out.Answer})
 }
 
-// forbidden checks the place once more right before sending, as the
-// configuration may have changed since the choice.
-func (w *sending) forbidden() string {
+// checkBeforeSend repeats the checks of the placement right before sending,
+// because the configuration may have changed since.
+func (w *attemptSender) checkBeforeSend() string {
 	s := w.run.host.Config()
 	e, ok := s.Endpoint(w.attempt.Endpoint.GetName())
 	if !ok || e.GetAddress() != w.attempt.Endpoint.GetAddress() {
@@ -60,7 +60,7 @@
 	}
 	b, ok := s.Binding(w.attempt.Created.GetBinding())
 	if !ok || !b.Allows(e.GetDomain()) {
-		return "the endpoint's place is no longer allowed"
+		return "the endpoint's failure domain is no longer allowed"
 	}
 	if !time.Now().Before(w.attempt.Deadline) {
 		return "the intent is older than the lease"
@@ -68,15 +68,15 @@
 	return ""
 }
 
-func (w *sending) emit(offset uint64, content string) {
-	w.seat.seat.RecordFirstToken()
+func (w *attemptSender) emit(offset uint64, content string) {
+	w.slot.slot.RecordFirstToken()
 	in := w.attempt.Intent
 	w.post(program.ChunkReceived{Sequence: in.GetSequence(), Attempt: in.GetAttempt(), Offset: offset, Content: content})
 }
 
-func (w *sending) post(e program.Event) { w.run.post(owner.ProgramEvent{Event: e}) }
+func (w *attemptSender) post(e program.Event) { w.run.post(owner.ProgramEvent{Event: e}) }
 
-func (w *sending) result(out Result) placement.Result {
+func (w *attemptSender) placementResult(out Result) placement.Result {
 	a := out.Answer
 	return placement.Result{
 		OK:               a != nil || out.NotExecuted && out.Permanent || w.ctx.Err() == context.Canceled,
@@ -87,8 +87,8 @@
 	}
 }
 
-// remember notes which prefixes the engine's cache now holds.
-func (w *sending) remember(a *recordpb.Answered) {
+// recordPrefixes records which prefixes the engine's cache now holds.
+func (w *attemptSender) recordPrefixes(a *recordpb.Answered) {
 	if w.attempt.Created.GetService() != "" {
 		return
 	}
@@ -103,49 +103,49 @@
 	}
 }
 
-func reasonOf(c placement.Choice) string {
-	return fmt.Sprintf("expected %.1f ms, %d prompt tokens held there, %d to compute", c.CostMS(), c.CachedTokens(), c.UncachedTokens())
+func placementReason(c placement.Choice) string {
+	return fmt.Sprintf("expected %.1f ms, %d prompt tokens cached there, %d to compute", c.CostMS(), c.CachedTokens(), c.UncachedTokens())
 }
 
-// release frees the memory that an engine holds for an ended run.
-type release struct {
+// engineRelease frees the resources that an engine holds for an ended run.
+type engineRelease struct {
 	run      *run
 	endpoint string
 }
 
-func (c *release) loop() {
-	e, ok := c.run.host.Config().Endpoint(c.endpoint)
+func (r *engineRelease) loop() {
+	e, ok := r.run.host.Config().Endpoint(r.endpoint)
 	if ok {
 		ctx, cancel := context.WithTimeout(context.Background(), peerTimeout)
 		defer cancel()
-		if err := c.run.host.Backends.Release(ctx, e, c.run.name); err != nil {
+		if err := r.run.host.Backends.Release(ctx, e, r.run.name); err != nil {
 			return
 		}
 	}
-	c.run.post(owner.ProgramEvent{Event: program.MemoryReleased{Endpoint: c.endpoint}})
+	r.run.post(owner.ProgramEvent{Event: program.MemoryReleased{Endpoint: r.endpoint}})
 }
 
-// credit brings the rest of an ended run's budget to its parent.
-type credit struct {
+// budgetReturn returns the remaining budget of an ended run to its parent.
+type budgetReturn struct {
 	run      *run
 	action   program.ReturnBudget
 	customer string
 }
 
-func (c *credit) loop() {
+func (b *budgetReturn) loop() {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*peerTimeout)
 	defer cancel()
 	req := &peerpb.DoRequest{
-		Run:      c.action.Parent,
-		Customer: c.customer,
-		Body:     &peerpb.DoRequest_Credit{Credit: &peerpb.Credit{Child: c.action.Child, Tokens: c.action.Tokens}},
+		Run:      b.action.Parent,
+		Customer: b.customer,
+		Body:     &peerpb.DoRequest_Credit{Credit: &peerpb.Credit{Child: b.action.Child, Tokens: b.action.Tokens}},
 	}
 	credited := false
-	_ = c.run.host.Do(ctx, req, func(e *peerpb.DoEvent) error {
+	_ = b.run.host.Do(ctx, req, func(e *peerpb.DoEvent) error {
 		credited = credited || e.GetView() != nil
 		return nil
 	})
 	if credited {
-		c.run.post(owner.ProgramEvent{Event: program.ParentCredited{}})
+		b.run.post(owner.ProgramEvent{Event: program.ParentCredited{}})
 	}
 }
--- a/rockbarrow/host/serve.go
+++ b/rockbarrow/host/serve.go
@@ -13,20 +13,22 @@
 	"rockbarrow.dev/schema/peerpb"
 )
 
-// HomeDomain returns the failure domain that a run's id names.
+// HomeDomain returns the home failure domain of a run, which its id begins
+// with.
 func HomeDomain(run string) string {
 	home, _, _ := strings.Cut(run, ".")
 	return home
 }
 
-// Serve answers a request as the run's owner, or with a redirect to the owner.
-// A redirect without a name says that the run is not known here.
+// Serve processes a request if this instance owns or can claim the run, and
+// otherwise replies with a redirect to the owner. A redirect without an
+// instance means that the run is not known here.
 func (h *Host) Serve(ctx context.Context, req *peerpb.DoRequest, emit func(*peerpb.DoEvent) error) error {
-	h.begin()
+	h.init()
 	if !h.Learned() {
-		return emit(problem.Event(problem.Retry(problem.NotServing, "this instance does not know the newest configuration yet", time.Second)))
+		return emit(problem.Event(problem.Retry(problem.NotServing, "this instance does not have the latest configuration yet", time.Second)))
 	}
-	r, e := h.seize(req)
+	r, e := h.acquire(req)
 	if e != nil {
 		return emit(e)
 	}
@@ -35,8 +37,8 @@
 	r.mu.Lock()
 	r.callers[id] = s
 	r.mu.Unlock()
-	defer r.forget(id)
-	r.post(owner.ProgramEvent{Event: eventOf(id, req)})
+	defer r.removeCaller(id)
+	r.post(owner.ProgramEvent{Event: programEvent(id, req)})
 	for {
 		events, done, err := s.next(ctx)
 		if err != nil {
@@ -55,13 +57,13 @@
 	}
 }
 
-func (r *run) forget(id program.CallID) {
+func (r *run) removeCaller(id program.CallID) {
 	r.mu.Lock()
 	delete(r.callers, id)
 	r.mu.Unlock()
 }
 
-func eventOf(id program.CallID, req *peerpb.DoRequest) program.Event {
+func programEvent(id program.CallID, req *peerpb.DoRequest) program.Event {
 	switch b := req.GetBody().(type) {
 	case *peerpb.DoRequest_Create:
 		return program.CreateRequested{ID: id, Created: b.Create.GetCreated()}
@@ -77,19 +79,19 @@
 	return program.ViewRequested{ID: id, Customer: req.GetCustomer(), After: req.GetRead().GetAfter(), Limit: req.GetRead().GetLimit()}
 }
 
-// seize returns the run if this instance owns it or takes it now; otherwise
-// the event that sends the caller on.
-func (h *Host) seize(req *peerpb.DoRequest) (*run, *peerpb.DoEvent) {
+// acquire returns the run if this instance owns it or claims it now, and
+// otherwise the event to reply with.
+func (h *Host) acquire(req *peerpb.DoRequest) (*run, *peerpb.DoEvent) {
 	create := req.GetCreate() != nil
-	r := h.run(req.GetRun(), create)
+	r := h.findRun(req.GetRun(), create)
 	if r == nil {
 		return nil, redirect("", false)
 	}
 	view := h.View()
 	if r.owned() {
-		return h.keep(r)
+		return h.serveOwned(r)
 	}
-	members, ballot, known := r.log()
+	members, ballot, known := r.membership()
 	if !known && !create {
 		return nil, redirect("", false)
 	}
@@ -97,10 +99,10 @@
 		return nil, redirect("", false)
 	}
 	if !known {
-		return h.take(r, claimed{view: view, create: true, keyed: req.GetCreate().GetKeyed()})
+		return h.claimRun(r, claimOptions{view: view, create: true, keyed: req.GetCreate().GetKeyed()})
 	}
-	if h.wrote(ballot) && members.Contains(h.self()) {
-		return h.take(r, claimed{view: view})
+	if h.isOwnBallot(ballot) && members.Contains(h.self()) {
+		return h.claimRun(r, claimOptions{view: view})
 	}
 	if !req.GetTakeOver() && view.IsWriterAlive(ballot) {
 		return nil, redirect(ballot.Instance(), false)
@@ -108,20 +110,20 @@
 	m, ok := owner.Successor(members, view)
 	switch {
 	case !ok:
-		return nil, problem.Event(problem.Retry(problem.NotServing, "no instance that holds the run's history is known to live", time.Second))
+		return nil, problem.Event(problem.Retry(problem.NotServing, "no instance with the run's history is known to be alive", time.Second))
 	case m.Is(h.self()), req.GetTakeOver() && members.Contains(h.self()):
-		return h.take(r, claimed{view: view})
+		return h.claimRun(r, claimOptions{view: view})
 	}
 	return nil, redirect(m.Instance(), false)
 }
 
-// keep serves an owned run, or hands it over when this instance stops and no
-// call is under way.
-func (h *Host) keep(r *run) (*run, *peerpb.DoEvent) {
+// serveOwned returns an owned run, or a redirect to a successor if this
+// instance is stopping and no call is in progress.
+func (h *Host) serveOwned(r *run) (*run, *peerpb.DoEvent) {
 	if !h.stopping.Load() || r.busy() {
 		return r, nil
 	}
-	members, _, known := r.log()
+	members, _, known := r.membership()
 	if !known {
 		return r, nil
 	}
@@ -132,11 +134,11 @@
 	return nil, redirect(m.Instance(), true)
 }
 
-func (h *Host) take(r *run, c claimed) (*run, *peerpb.DoEvent) {
+func (h *Host) claimRun(r *run, c claimOptions) (*run, *peerpb.DoEvent) {
 	if r.claim(c) {
 		return r, nil
 	}
-	return nil, problem.Event(problem.Retry(problem.NotServing, "the run changes its owner", campaignPause))
+	return nil, problem.Event(problem.Retry(problem.NotServing, "the ownership of the run is changing", campaignBackoff))
 }
 
 func redirect(instance string, takeOver bool) *peerpb.DoEvent {
--- a/rockbarrow/host/stream.go
+++ b/rockbarrow/host/stream.go
@@ -9,8 +9,8 @@
 	"rockbarrow.dev/schema/peerpb"
 )
 
-// stream holds the events of one waiting caller. What it can hold is bounded by
-// the longest answer, as deltas that wait are joined.
+// stream buffers the events for one caller. Its size is bounded by the longest
+// answer, because pending deltas are joined.
 type stream struct {
 	mu     sync.Mutex
 	events []*peerpb.DoEvent
@@ -33,7 +33,7 @@
 	}
 }
 
-// join appends a delta to a waiting one of the same attempt.
+// join appends a delta to a pending one of the same attempt.
 func (s *stream) join(e *peerpb.DoEvent) bool {
 	d := e.GetDelta()
 	if d == nil || d.GetRestart() || len(s.events) == 0 {
@@ -48,7 +48,7 @@
 	return true
 }
 
-// next returns the events that wait, and whether they are the last.
+// next returns the pending events and whether they are the last ones.
 func (s *stream) next(ctx context.Context) ([]*peerpb.DoEvent, bool, error) {
 	for {
 		s.mu.Lock()
