--- a/rockbarrow/config/lead.go
+++ b/rockbarrow/config/lead.go
@@ -72,7 +72,7 @@
 		Incarnation:    s.Incarnation,
 		Voters:         s.voters(),
 		Replica:        s.voter.replica,
-		FailureDomains: s.Places,
+		FailureDomains: s.FailureDomains,
 	}
 	s.voter.mu.Unlock()
 	s.leadMu.Lock()
@@ -125,7 +125,7 @@
 	if serves {
 		// Changes of the voters fold entries too, without a new version; those who
 		// learn wait for the newest entry.
-		s.Advance(doc, folded)
+		s.Update(doc, folded)
 	}
 	for _, a := range actions {
 		s.perform(l, a, folded)
@@ -155,7 +155,7 @@
 
 // publish brings a version into force here and pushes it to all others.
 func (s *Source) publish(doc *configpb.Document, folded uint64) {
-	s.Advance(doc, folded)
+	s.Update(doc, folded)
 	offer := &peerpb.PullReply{Version: doc.GetVersion(), Document: doc, FoldedIndex: folded}
 	for _, i := range s.View().Instances() {
 		if i.Instance() != s.Instance && i.State() != roster.Dead {
@@ -237,8 +237,9 @@
 	return nil, &UnavailableError{Reason: "no control instance leads; too few voters answer"}
 }
 
-// Decide takes a command that a peer passed on; only the leader does.
-func (s *Source) Decide(ctx context.Context, req *peerpb.CommandRequest) (*recordpb.ControlOutcome, error) {
+// ApplyForwarded processes a command that a peer forwarded. Only the leader
+// accepts it.
+func (s *Source) ApplyForwarded(ctx context.Context, req *peerpb.CommandRequest) (*recordpb.ControlOutcome, error) {
 	if !s.serves() {
 		return nil, &UnavailableError{Reason: "this instance does not lead"}
 	}
--- a/rockbarrow/config/learn.go
+++ b/rockbarrow/config/learn.go
@@ -38,10 +38,10 @@
 	}
 	switch h := s.current.Load(); {
 	case reply.GetDocument() != nil:
-		s.Advance(reply.GetDocument(), reply.GetFoldedIndex())
+		s.Update(reply.GetDocument(), reply.GetFoldedIndex())
 	case reply.GetVersion() == h.snapshot.Version():
 		// The same version folds a longer journal: a new leader's first entry.
-		s.Advance(h.snapshot.Document(), reply.GetFoldedIndex())
+		s.Update(h.snapshot.Document(), reply.GetFoldedIndex())
 	}
 }
 
@@ -125,6 +125,6 @@
 		}
 	}
 	if s.learned.Load() {
-		s.Log.WithField("version", h.snapshot.Version()).WithField("cut_off", s.CutOff()).Info("configuration learned")
+		s.Log.WithField("version", h.snapshot.Version()).WithField("cut_off", s.ControlUnreachable()).Info("configuration learned")
 	}
 }
--- a/rockbarrow/config/source.go
+++ b/rockbarrow/config/source.go
@@ -53,8 +53,8 @@
 	campaignPause = time.Second
 )
 
-// Peers reaches other instances.
-type Peers interface {
+// PeerClient sends requests to other instances.
+type PeerClient interface {
 	Journal(ctx context.Context, name string, to journal.Member, m journal.Message) (journal.Reply, error)
 	Pull(ctx context.Context, instance string, version uint64) (*peerpb.PullReply, error)
 	// Push offers a version; a peer that has it already ignores it.
@@ -76,21 +76,21 @@
 
 // Source is one for each instance. Set the exported fields before Run.
 type Source struct {
-	Instance    string
-	Domain      string
-	Incarnation uint64
-	Storage     uint64
-	Peers       Peers
+	Instance           string
+	Domain             string
+	Incarnation        uint64
+	StorageIncarnation uint64
+	Peers              PeerClient
 	// Store is nil without a disk.
-	Store  Store
-	Places []control.FailureDomain
-	View   func() *roster.View
-	// PullEvery is the period of pulls; PauseLimit is how long the loop may
-	// stand still before the instance has to learn anew.
-	PullEvery  time.Duration
-	PauseLimit time.Duration
-	// Changed is told of each version as it comes into force.
-	Changed func(*control.Snapshot)
+	Store          Store
+	FailureDomains []control.FailureDomain
+	View           func() *roster.View
+	// PullInterval is the period of pulls. PauseLimit is how long the loop may
+	// be blocked before the configuration has to be learned again.
+	PullInterval time.Duration
+	PauseLimit   time.Duration
+	// OnChange is called with each version that becomes active.
+	OnChange func(*control.Snapshot)
 	// DiskFailed is told when a sync fails; the process must end then.
 	DiskFailed func(error)
 	Log        *logrus.Entry
@@ -130,7 +130,7 @@
 	if err := proto.Unmarshal(kept, &offer); err != nil {
 		return &control.SnapshotError{Cause: err}
 	}
-	s.Advance(offer.GetDocument(), offer.GetFoldedIndex())
+	s.Update(offer.GetDocument(), offer.GetFoldedIndex())
 	return nil
 }
 
@@ -141,8 +141,9 @@
 // this instance can know.
 func (s *Source) Learned() bool { return s.learned.Load() }
 
-// CutOff reports whether the version was confirmed by the own domain only.
-func (s *Source) CutOff() bool { return s.cutOff.Load() }
+// ControlUnreachable reports whether the version was confirmed by the own
+// failure domain only.
+func (s *Source) ControlUnreachable() bool { return s.cutOff.Load() }
 
 // Age returns how long ago a control instance last confirmed the version.
 func (s *Source) Age() time.Duration {
@@ -153,8 +154,8 @@
 	return time.Since(time.Unix(0, at))
 }
 
-// Advance brings a version into force if it is newer than the present one.
-func (s *Source) Advance(doc *configpb.Document, folded uint64) bool {
+// Update activates a version if it is newer than the active one.
+func (s *Source) Update(doc *configpb.Document, folded uint64) bool {
 	s.advance.Lock()
 	defer s.advance.Unlock()
 	now := s.current.Load()
@@ -175,7 +176,7 @@
 
 func (s *Source) inForce(h *held) {
 	s.Metrics.Gauge("config_version").Update(float64(h.snapshot.Version()))
-	s.Changed(h.snapshot)
+	s.OnChange(h.snapshot)
 	s.Log.WithField("version", h.snapshot.Version()).Info("configuration in force")
 	if s.Store == nil {
 		return
@@ -208,13 +209,14 @@
 // Push takes a version that a peer offers.
 func (s *Source) Push(offer *peerpb.PullReply) {
 	if offer.GetDocument() != nil {
-		s.Advance(offer.GetDocument(), offer.GetFoldedIndex())
+		s.Update(offer.GetDocument(), offer.GetFoldedIndex())
 	}
 	s.confirmed.Store(time.Now().UnixNano())
 }
 
-// Hint says that a peer has a version, to be pulled at once if it is newer.
-func (s *Source) Hint(instance string, version uint64) {
+// HandlePeerVersion pulls from a peer if its version is newer than the active
+// one.
+func (s *Source) HandlePeerVersion(instance string, version uint64) {
 	if version > s.Snapshot().Version() {
 		go (&pull{source: s, instance: instance}).run()
 	}
@@ -254,7 +256,7 @@
 			s.learn(ctx)
 			continue
 		}
-		if now.Sub(lastPull) >= s.PullEvery {
+		if now.Sub(lastPull) >= s.PullInterval {
 			lastPull = now
 			s.pullAny(ctx)
 		}
--- a/rockbarrow/config/source_test.go
+++ b/rockbarrow/config/source_test.go
@@ -54,7 +54,7 @@
 	log.SetOutput(io.Discard)
 	s := &Source{
 		Instance: "a2", Domain: "a", Peers: peers, View: table.View,
-		Changed: func(*control.Snapshot) {}, Log: logrus.NewEntry(log), Metrics: tally.NoopScope,
+		OnChange: func(*control.Snapshot) {}, Log: logrus.NewEntry(log), Metrics: tally.NoopScope,
 	}
 	if err := s.Start(nil, nil); err != nil {
 		t.Fatal(err)
@@ -71,8 +71,8 @@
 
 func TestVersionsOnlyRise(t *testing.T) {
 	s := source(t, nil)
-	s.Advance(&configpb.Document{Version: 7}, 9)
-	if s.Advance(&configpb.Document{Version: 6}, 20) || s.Snapshot().Version() != 7 {
+	s.Update(&configpb.Document{Version: 7}, 9)
+	if s.Update(&configpb.Document{Version: 6}, 20) || s.Snapshot().Version() != 7 {
 		t.Fatalf("version %d after an older one came, want 7", s.Snapshot().Version())
 	}
 }
@@ -80,8 +80,8 @@
 func TestLearnsFromAControlMajority(t *testing.T) {
 	s := source(t, fakePeers{"a1": reply(3, 4, 4, true, true), "b1": reply(2, 3, 3, true, true)})
 	s.learn(context.Background())
-	if !s.Learned() || s.Snapshot().Version() != 3 || s.CutOff() {
-		t.Fatalf("learned %v version %d cut off %v, want true, 3, false", s.Learned(), s.Snapshot().Version(), s.CutOff())
+	if !s.Learned() || s.Snapshot().Version() != 3 || s.ControlUnreachable() {
+		t.Fatalf("learned %v version %d cut off %v, want true, 3, false", s.Learned(), s.Snapshot().Version(), s.ControlUnreachable())
 	}
 }
 
@@ -104,8 +104,8 @@
 func TestCutOffDomainServesOnItsNewest(t *testing.T) {
 	s := source(t, fakePeers{"a1": reply(3, 4, 4, true, true), "a3": reply(5, 6, 0, false, true)})
 	s.learn(context.Background())
-	if !s.Learned() || !s.CutOff() || s.Snapshot().Version() != 5 {
-		t.Fatalf("learned %v cut off %v version %d, want true, true, 5", s.Learned(), s.CutOff(), s.Snapshot().Version())
+	if !s.Learned() || !s.ControlUnreachable() || s.Snapshot().Version() != 5 {
+		t.Fatalf("learned %v cut off %v version %d, want true, true, 5", s.Learned(), s.ControlUnreachable(), s.Snapshot().Version())
 	}
 }
 
--- a/rockbarrow/config/voter.go
+++ b/rockbarrow/config/voter.go
@@ -90,8 +90,8 @@
 }
 
 func (s *Source) self() journal.Member {
-	if s.Storage != 0 {
-		return journal.NewMember(s.Instance, s.Storage).WithDisk()
+	if s.StorageIncarnation != 0 {
+		return journal.NewMember(s.Instance, s.StorageIncarnation).WithDisk()
 	}
 	return journal.NewMember(s.Instance, s.Incarnation)
 }
--- a/rockbarrow/daemon/build.go
+++ b/rockbarrow/daemon/build.go
@@ -114,7 +114,7 @@
 	d.node.Start()
 }
 
-func (d *Daemon) hint(instance string, version uint64) { d.source.Hint(instance, version) }
+func (d *Daemon) hint(instance string, version uint64) { d.source.HandlePeerVersion(instance, version) }
 
 func (d *Daemon) buildDesk() {
 	p := d.Settings.Placement
@@ -154,11 +154,11 @@
 func (d *Daemon) buildSource(peers []roster.Peer) {
 	d.source = &config.Source{
 		Instance: d.Settings.Instance, Domain: d.Settings.Domain, Incarnation: d.incarnation,
-		Peers: d.client, Places: places(peers), View: d.node.View,
-		PullEvery:  settings.Milliseconds(d.Settings.Timing.PullMS),
-		PauseLimit: settings.Milliseconds(d.Settings.Timing.DeadAfterMS) / 2,
-		Changed:    func(s *control.Snapshot) { d.desk.ApplySnapshot(s) },
-		Log:        d.Log, Metrics: d.scope,
+		Peers: d.client, FailureDomains: places(peers), View: d.node.View,
+		PullInterval: settings.Milliseconds(d.Settings.Timing.PullMS),
+		PauseLimit:   settings.Milliseconds(d.Settings.Timing.DeadAfterMS) / 2,
+		OnChange:     func(s *control.Snapshot) { d.desk.ApplySnapshot(s) },
+		Log:          d.Log, Metrics: d.scope,
 	}
 	d.host.Config = d.source.Snapshot
 	d.host.Learned = d.source.Learned
@@ -191,7 +191,7 @@
 		}
 	})
 	d.host.Store, d.host.StorageIncarnation = store, store.Storage()
-	d.source.Store, d.source.Storage = store, store.Storage()
+	d.source.Store, d.source.StorageIncarnation = store, store.Storage()
 	kept, err := store.Load()
 	if err != nil {
 		return err
--- a/rockbarrow/operator/server.go
+++ b/rockbarrow/operator/server.go
@@ -191,7 +191,7 @@
 func (s *Server) Status(context.Context, *operatorpb.StatusRequest) (*operatorpb.StatusReply, error) {
 	view := s.View()
 	version := s.Config.Snapshot().Version()
-	out := &operatorpb.StatusReply{Instance: s.Instance, NewestVersion: version, InForceEverywhere: true, Leader: s.Config.Leader(), CutOff: s.Config.CutOff()}
+	out := &operatorpb.StatusReply{Instance: s.Instance, NewestVersion: version, InForceEverywhere: true, Leader: s.Config.Leader(), CutOff: s.Config.ControlUnreachable()}
 	for _, i := range view.Instances() {
 		b := i.Heartbeat()
 		st := &operatorpb.InstanceStatus{
--- a/rockbarrow/peer/server.go
+++ b/rockbarrow/peer/server.go
@@ -99,7 +99,7 @@
 	beats := toBeats(req.GetBeats())
 	out := s.Roster.HandleHeartbeats(beats)
 	for _, b := range beats {
-		s.Config.Hint(b.Instance(), b.ConfigVersion())
+		s.Config.HandlePeerVersion(b.Instance(), b.ConfigVersion())
 	}
 	return &peerpb.HeartbeatReply{Protocol: Protocol, Beats: fromBeats(out)}, nil
 }
@@ -144,7 +144,7 @@
 
 // Command implements the schema's call.
 func (s *Server) Command(ctx context.Context, req *peerpb.CommandRequest) (*operatorpb.ApplyReply, error) {
-	out, err := s.Config.Decide(ctx, req)
+	out, err := s.Config.ApplyForwarded(ctx, req)
 	var unavailable *config.UnavailableError
 	if errors.As(err, &unavailable) {
 		return nil, status.Error(codes.FailedPrecondition, unavailable.Error())
