--- a/rockbarrow/config/lead.go
+++ b/rockbarrow/config/lead.go
@@ -19,53 +19,54 @@
 	"rockbarrow.dev/schema/recordpb"
 )
 
-// UnavailableError says that a command was certainly not accepted.
+// UnavailableError reports that a command was certainly not accepted.
 type UnavailableError struct {
-	// Reason tells why.
+	// Reason describes why.
 	Reason string
 }
 
-// Error describes the reason.
+// Error implements the error interface.
 func (e *UnavailableError) Error() string { return "control: unavailable: " + e.Reason }
 
-// UndeterminedError says that a command may or may not come to be accepted.
+// UndeterminedError reports that a command may or may not be accepted.
 type UndeterminedError struct {
-	// CommandID is the id to resend under.
+	// CommandID is the id under which to resend the command.
 	CommandID string
 }
 
-// Error tells what to do.
+// Error implements the error interface.
 func (e *UndeterminedError) Error() string {
 	return fmt.Sprintf("control: the outcome of command %q is undetermined; resend it under the same id", e.CommandID)
 }
 
-// Journal hands a leader's message to the own copy of the control journal.
+// Journal passes a message of the leader to the local replica of the control
+// journal.
 func (s *Source) Journal(to journal.Member, m journal.Message) journal.Reply {
 	if !to.Is(s.self()) {
 		return journal.NonVoting{}
 	}
-	return s.voter.message(m)
+	return s.voter.handleMessage(m)
 }
 
-// lead ticks the leader, or campaigns when the leader is dead and this is the
-// first control instance that lives.
-func (s *Source) lead(now time.Time) {
-	if s.leading() {
-		s.box.Post(control.Tick{})
-		s.reseat()
+// tickLeader ticks the leader, or starts a campaign if no leader is alive and
+// this is the first live control instance.
+func (s *Source) tickLeader(now time.Time) {
+	if s.hasLeader() {
+		s.mailbox.Post(control.Tick{})
+		s.replaceRestartedVoter()
 		return
 	}
-	if now.Before(s.next) || !s.first() {
+	if now.Before(s.nextCampaign) || !s.isFirstControl() {
 		return
 	}
-	// The first set of voters is formed once all are known, never by a part.
-	if s.voter.lastIndex() == 0 && !s.allHeard() {
+	// The initial set of voters requires that all of them are known.
+	if s.voter.lastIndex() == 0 && !s.allVotersKnown() {
 		return
 	}
 	if b := s.voter.promised(); b.Instance() != "" && s.View().IsWriterAlive(b) {
 		return
 	}
-	s.next = now.Add(campaignPause + time.Duration(rand.Int64N(int64(campaignPause))))
+	s.nextCampaign = now.Add(campaignBackoff + time.Duration(rand.Int64N(int64(campaignBackoff))))
 	s.voter.mu.Lock()
 	l := &control.Leader{
 		Self:           s.self(),
@@ -75,21 +76,21 @@
 		FailureDomains: s.FailureDomains,
 	}
 	s.voter.mu.Unlock()
-	s.leadMu.Lock()
+	s.leaderMu.Lock()
 	s.leader = l
-	s.leadMu.Unlock()
-	s.Log.Info("campaigning for the control journal")
-	s.box.Post(control.Campaign{Round: s.rounds.Add(1)})
+	s.leaderMu.Unlock()
+	s.Log.Info("starting a campaign for the control journal")
+	s.mailbox.Post(control.Campaign{Round: s.round.Add(1)})
 }
 
-func (s *Source) leading() bool {
-	s.leadMu.Lock()
-	defer s.leadMu.Unlock()
+func (s *Source) hasLeader() bool {
+	s.leaderMu.Lock()
+	defer s.leaderMu.Unlock()
 	return s.leader != nil
 }
 
-// first reports whether no control instance before this one lives.
-func (s *Source) first() bool {
+// isFirstControl reports whether no earlier control instance is alive.
+func (s *Source) isFirstControl() bool {
 	for _, i := range s.View().Instances() {
 		if i.Instance() == s.Instance {
 			return true
@@ -101,14 +102,14 @@
 	return false
 }
 
-// step handles one event of the leader.
+// step processes an event of the leader and performs the resulting actions.
 func (s *Source) step(e control.Event) {
-	s.leadMu.Lock()
+	s.leaderMu.Lock()
 	l := s.leader
 	if l == nil {
-		s.leadMu.Unlock()
+		s.leaderMu.Unlock()
 		if a, ok := e.(control.CommandReceived); ok {
-			s.answer(a.ID, nil)
+			s.respond(a.ID, nil)
 		}
 		return
 	}
@@ -119,67 +120,68 @@
 	if _, ok := e.(control.Campaign); ok {
 		s.voter.mu.Unlock()
 	}
-	folded := l.AppliedIndex()
-	doc, serves := l.State().Document(), l.AcceptsCommands()
-	s.leadMu.Unlock()
-	if serves {
-		// Changes of the voters fold entries too, without a new version; those who
-		// learn wait for the newest entry.
-		s.Update(doc, folded)
+	appliedIndex := l.AppliedIndex()
+	doc, accepts := l.State().Document(), l.AcceptsCommands()
+	s.leaderMu.Unlock()
+	if accepts {
+		// Changes of the voters advance the journal without a new version. Learning
+		// instances wait until the last entry is applied.
+		s.Update(doc, appliedIndex)
 	}
 	for _, a := range actions {
-		s.perform(l, a, folded)
+		s.perform(l, a, appliedIndex)
 	}
 }
 
-func (s *Source) perform(l *control.Leader, a control.Action, folded uint64) {
+func (s *Source) perform(l *control.Leader, a control.Action, appliedIndex uint64) {
 	switch a := a.(type) {
 	case control.Send:
 		go (&delivery{source: s, to: a.To, message: a.Message}).run()
 	case control.Respond:
-		s.answer(a.ID, a.Outcome)
+		s.respond(a.ID, a.Outcome)
 	case control.Publish:
-		s.publish(a.Document, folded)
+		s.publish(a.Document, appliedIndex)
 	case control.LeadershipLost:
-		s.leadMu.Lock()
+		s.leaderMu.Lock()
 		if s.leader == l {
 			s.leader = nil
 		}
-		s.leadMu.Unlock()
+		s.leaderMu.Unlock()
 		for _, id := range a.Pending {
-			s.answer(id, nil)
+			s.respond(id, nil)
 		}
 		s.Log.WithField("by", a.By.String()).Info("another instance leads the control journal")
 	}
 }
 
-// publish brings a version into force here and pushes it to all others.
-func (s *Source) publish(doc *configpb.Document, folded uint64) {
-	s.Update(doc, folded)
-	offer := &peerpb.PullReply{Version: doc.GetVersion(), Document: doc, FoldedIndex: folded}
+// publish activates a version and pushes it to all other instances.
+func (s *Source) publish(doc *configpb.Document, appliedIndex uint64) {
+	s.Update(doc, appliedIndex)
+	reply := &peerpb.PullReply{Version: doc.GetVersion(), Document: doc, FoldedIndex: appliedIndex}
 	for _, i := range s.View().Instances() {
 		if i.Instance() != s.Instance && i.State() != roster.Dead {
-			go (&push{source: s, instance: i.Instance(), offer: offer}).run()
+			go (&push{source: s, instance: i.Instance(), reply: reply}).run()
 		}
 	}
 }
 
-// push offers a version to one peer; pulls make up for one that is lost.
+// push sends a version to one peer. A lost push is made up for by the peer's
+// next pull.
 type push struct {
 	source   *Source
 	instance string
-	offer    *peerpb.PullReply
+	reply    *peerpb.PullReply
 }
 
 func (p *push) run() {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
-	if err := p.source.Peers.Push(ctx, p.instance, p.offer); err != nil {
+	if err := p.source.Peers.Push(ctx, p.instance, p.reply); err != nil {
 		p.source.Metrics.Counter("config_pushes_lost").Inc(1)
 	}
 }
 
-// delivery carries a message of the leader to a voter.
+// delivery sends a message of the leader to a voter.
 type delivery struct {
 	source  *Source
 	to      journal.Member
@@ -189,42 +191,42 @@
 func (d *delivery) run() {
 	s := d.source
 	if d.to.Is(s.self()) {
-		reply := s.voter.message(d.message)
+		reply := s.voter.handleMessage(d.message)
 		if reply == nil {
-			s.box.Post(control.SendFailed{To: d.to})
+			s.mailbox.Post(control.SendFailed{To: d.to})
 			return
 		}
-		s.box.Post(control.ReplyReceived{From: d.to, Reply: reply})
+		s.mailbox.Post(control.ReplyReceived{From: d.to, Reply: reply})
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	reply, err := s.Peers.Journal(ctx, JournalName, d.to, d.message)
 	if err != nil || reply == nil {
-		s.box.Post(control.SendFailed{To: d.to})
+		s.mailbox.Post(control.SendFailed{To: d.to})
 		return
 	}
-	s.box.Post(control.ReplyReceived{From: d.to, Reply: reply})
+	s.mailbox.Post(control.ReplyReceived{From: d.to, Reply: reply})
 }
 
-// Apply decides an operator's command, here or at the leader. Errors are an
-// [*UnavailableError] or an [*UndeterminedError].
+// Apply processes an operator's command, here or at the leader. It returns an
+// [*UnavailableError] or an [*UndeterminedError] on failure.
 func (s *Source) Apply(ctx context.Context, operator string, req *operatorpb.ApplyRequest) (*recordpb.ControlOutcome, error) {
-	if s.serves() {
-		return s.decide(ctx, operator, req)
+	if s.acceptsCommands() {
+		return s.applyLocally(ctx, operator, req)
 	}
 	b := s.voter.promised()
-	var tried []string
+	var candidates []string
 	if b.Instance() != "" && b.Instance() != s.Instance {
-		tried = append(tried, b.Instance())
+		candidates = append(candidates, b.Instance())
 	}
 	for _, i := range s.View().Instances() {
 		if i.Control() && i.Instance() != s.Instance && i.Instance() != b.Instance() && i.State() != roster.Dead {
-			tried = append(tried, i.Instance())
+			candidates = append(candidates, i.Instance())
 		}
 	}
 	sent := false
-	for _, instance := range tried {
+	for _, instance := range candidates {
 		reply, err := s.Peers.Command(ctx, instance, &peerpb.CommandRequest{Apply: req, Operator: operator})
 		if err == nil {
 			return reply.GetOutcome(), nil
@@ -234,37 +236,37 @@
 	if sent {
 		return nil, &UndeterminedError{CommandID: req.GetCommandId()}
 	}
-	return nil, &UnavailableError{Reason: "no control instance leads; too few voters answer"}
+	return nil, &UnavailableError{Reason: "no control instance leads, or too few voters reply"}
 }
 
 // ApplyForwarded processes a command that a peer forwarded. Only the leader
 // accepts it.
 func (s *Source) ApplyForwarded(ctx context.Context, req *peerpb.CommandRequest) (*recordpb.ControlOutcome, error) {
-	if !s.serves() {
-		return nil, &UnavailableError{Reason: "this instance does not lead"}
+	if !s.acceptsCommands() {
+		return nil, &UnavailableError{Reason: "this instance is not the control leader"}
 	}
-	return s.decide(ctx, req.GetOperator(), req.GetApply())
+	return s.applyLocally(ctx, req.GetOperator(), req.GetApply())
 }
 
-// isUnavailable reports whether a peer certainly did not take a command.
+// isUnavailable reports whether a peer certainly did not accept a command.
 func isUnavailable(err error) bool {
 	var u *UnavailableError
 	return errors.As(err, &u)
 }
 
-func (s *Source) serves() bool {
-	s.leadMu.Lock()
-	defer s.leadMu.Unlock()
+func (s *Source) acceptsCommands() bool {
+	s.leaderMu.Lock()
+	defer s.leaderMu.Unlock()
 	return s.leader != nil && s.leader.AcceptsCommands()
 }
 
-func (s *Source) decide(ctx context.Context, operator string, req *operatorpb.ApplyRequest) (*recordpb.ControlOutcome, error) {
-	id := control.RequestID(s.commands.Add(1))
+func (s *Source) applyLocally(ctx context.Context, operator string, req *operatorpb.ApplyRequest) (*recordpb.ControlOutcome, error) {
+	id := control.RequestID(s.requests.Add(1))
 	answer := make(chan *recordpb.ControlOutcome, 1)
-	s.leadMu.Lock()
-	s.waiting[id] = answer
-	s.leadMu.Unlock()
-	s.box.Post(control.CommandReceived{ID: id, Operator: operator, Request: req})
+	s.leaderMu.Lock()
+	s.pending[id] = answer
+	s.leaderMu.Unlock()
+	s.mailbox.Post(control.CommandReceived{ID: id, Operator: operator, Request: req})
 	ctx, cancel := context.WithTimeout(ctx, 3*callTimeout)
 	defer cancel()
 	select {
@@ -274,34 +276,34 @@
 		}
 		return out, nil
 	case <-ctx.Done():
-		s.answer(id, nil)
+		s.respond(id, nil)
 		return nil, &UndeterminedError{CommandID: req.GetCommandId()}
 	}
 }
 
-func (s *Source) answer(id control.RequestID, out *recordpb.ControlOutcome) {
-	s.leadMu.Lock()
-	c := s.waiting[id]
-	delete(s.waiting, id)
-	s.leadMu.Unlock()
+func (s *Source) respond(id control.RequestID, out *recordpb.ControlOutcome) {
+	s.leaderMu.Lock()
+	c := s.pending[id]
+	delete(s.pending, id)
+	s.leaderMu.Unlock()
 	if c != nil {
 		c <- out
 	}
 }
 
-// Audit returns the audit trail; only the leader has all of it.
+// Audit returns the audit trail, which is complete only at the leader.
 func (s *Source) Audit() ([]*recordpb.AuditRecord, error) {
-	s.leadMu.Lock()
-	defer s.leadMu.Unlock()
+	s.leaderMu.Lock()
+	defer s.leaderMu.Unlock()
 	if s.leader == nil || !s.leader.AcceptsCommands() {
-		return nil, &UnavailableError{Reason: "this instance does not lead"}
+		return nil, &UnavailableError{Reason: "this instance is not the control leader"}
 	}
 	return append([]*recordpb.AuditRecord(nil), s.leader.State().Audit()...), nil
 }
 
-// Leader returns the instance that leads as far as this one knows.
+// Leader returns the name of the leader as known to this instance.
 func (s *Source) Leader() string {
-	if s.serves() {
+	if s.acceptsCommands() {
 		return s.Instance
 	}
 	return s.voter.promised().Instance()
--- a/rockbarrow/config/lead_test.go
+++ b/rockbarrow/config/lead_test.go
@@ -12,10 +12,10 @@
 	"rockbarrow.dev/rockbarrow/roster"
 )
 
-// TestChangeOfVotersIsFolded leads alone, changes its voters, and looks whether
-// another instance could learn afterwards.
-func TestChangeOfVotersIsFolded(t *testing.T) {
-	s := source(t, nil)
+// TestLearnIndexAfterChangeOfVoters checks that a change of the voters, which
+// creates no new version, does not keep other instances from learning.
+func TestLearnIndexAfterChangeOfVoters(t *testing.T) {
+	s := newTestSource(t, nil)
 	self := roster.NewPeer("a2", "a", "", false, true)
 	table := &roster.Table{Self: self, Peers: []roster.Peer{self, roster.NewPeer("a3", "a", "", false, true)}, Rand: rand.New(rand.NewPCG(1, 1))}
 	now := time.Unix(1000, 0)
@@ -26,8 +26,8 @@
 	other := &journal.Replica{}
 	l := &control.Leader{Self: s.self(), Incarnation: 1, Voters: s.voters()}
 	s.leader = l
-	// Messages are carried by hand: the own ones to the voter, the others to a
-	// replica in the test.
+	// Messages to this instance go to its voter, all others to a replica in the
+	// test.
 	queue := []control.Event{control.Campaign{Round: 1}}
 	for n := 0; len(queue) > 0 && n < 200; n++ {
 		e := queue[0]
@@ -39,7 +39,7 @@
 			}
 			reply, _ := other.Handle(send.Message)
 			if send.To.Is(s.self()) {
-				reply = s.voter.message(send.Message)
+				reply = s.voter.handleMessage(send.Message)
 			}
 			queue = append(queue, control.ReplyReceived{From: send.To, Reply: reply})
 		}
@@ -50,6 +50,6 @@
 	}
 	s.step(control.Tick{})
 	if got, want := s.Pull(0).GetFoldedIndex(), l.AppliedIndex(); got != want || want < 2 {
-		t.Fatalf("peers can learn up to entry %d, the leader folded %d", got, want)
+		t.Fatalf("peers can learn up to entry %d, the leader applied %d", got, want)
 	}
 }
--- a/rockbarrow/config/learn.go
+++ b/rockbarrow/config/learn.go
@@ -12,7 +12,7 @@
 	"rockbarrow.dev/schema/peerpb"
 )
 
-// pull fetches a version from one peer.
+// pull requests the version of one peer.
 type pull struct {
 	source   *Source
 	instance string
@@ -20,7 +20,7 @@
 	wait     *sync.WaitGroup
 }
 
-// run asks the peer and brings what it has into force.
+// run sends the request and activates the returned version if it is newer.
 func (p *pull) run() {
 	if p.wait != nil {
 		defer p.wait.Done()
@@ -34,97 +34,102 @@
 	}
 	p.reply = reply
 	if reply.GetControl() && reply.GetLearned() {
-		s.confirmed.Store(time.Now().UnixNano())
+		s.confirmedAt.Store(time.Now().UnixNano())
 	}
-	switch h := s.current.Load(); {
+	switch current := s.current.Load(); {
 	case reply.GetDocument() != nil:
 		s.Update(reply.GetDocument(), reply.GetFoldedIndex())
-	case reply.GetVersion() == h.snapshot.Version():
-		// The same version folds a longer journal: a new leader's first entry.
-		s.Update(h.snapshot.Document(), reply.GetFoldedIndex())
+	case reply.GetVersion() == current.snapshot.Version():
+		// The version is unchanged but the journal is longer, as after the first entry
+		// of a new leader.
+		s.Update(current.snapshot.Document(), reply.GetFoldedIndex())
 	}
 }
 
-// pullAny asks a control instance or a peer of the own domain, drawn at random.
-func (s *Source) pullAny(context.Context) {
-	var from []string
+// pullFromRandomPeer pulls from a random control instance or peer of the own
+// failure domain.
+func (s *Source) pullFromRandomPeer(context.Context) {
+	var candidates []string
 	for _, i := range s.View().Instances() {
 		if i.Instance() != s.Instance && i.State() != roster.Dead && (i.Control() || i.Domain() == s.Domain) {
-			from = append(from, i.Instance())
+			candidates = append(candidates, i.Instance())
 		}
 	}
-	if len(from) == 0 {
-		s.confirmed.Store(time.Now().UnixNano())
+	if len(candidates) == 0 {
+		s.confirmedAt.Store(time.Now().UnixNano())
 		return
 	}
-	go (&pull{source: s, instance: from[rand.IntN(len(from))]}).run()
+	go (&pull{source: s, instance: candidates[rand.IntN(len(candidates))]}).run()
 }
 
-// learn asks all control instances and all of the own domain, and decides
-// whether the newest version is known.
+// learn pulls from all control instances and all peers of the own failure
+// domain, and decides whether the latest version is known.
 func (s *Source) learn(context.Context) {
 	var wait sync.WaitGroup
-	var asked []*pull
-	controls, domain := 0, 0
+	var pulls []*pull
+	controlSize, domainSize := 0, 0
 	for _, i := range s.View().Instances() {
-		near := i.Domain() == s.Domain
-		if near {
-			domain++
+		sameDomain := i.Domain() == s.Domain
+		if sameDomain {
+			domainSize++
 		}
 		if i.Control() {
-			controls++
+			controlSize++
 		}
-		if i.Instance() == s.Instance || !near && !i.Control() {
+		if i.Instance() == s.Instance || !sameDomain && !i.Control() {
 			continue
 		}
 		p := &pull{source: s, instance: i.Instance(), wait: &wait}
-		asked = append(asked, p)
+		pulls = append(pulls, p)
 		wait.Add(1)
 		go p.run()
 	}
 	wait.Wait()
-	s.judge(asked, controls, domain)
+	s.evaluateReplies(pulls, controlSize, domainSize)
 }
 
-// judge takes the own word for the own vote on a control instance.
-func (s *Source) judge(asked []*pull, controls, domain int) {
-	votes, neighbours := 0, 0
+// evaluateReplies sets learned if a majority of the control instances,
+// including this one, or of the own failure domain has replied and none of
+// them knows a newer state.
+func (s *Source) evaluateReplies(pulls []*pull, controlSize, domainSize int) {
+	controlVotes, domainVotes := 0, 0
 	index, version := uint64(0), uint64(0)
 	if s.isControl() {
-		votes++
+		controlVotes++
 		index = s.voter.lastIndex()
 	}
-	for _, p := range asked {
+	for _, p := range pulls {
 		r := p.reply
 		if r == nil {
 			continue
 		}
 		if r.GetControl() {
-			votes++
+			controlVotes++
 			index = max(index, r.GetControlIndex())
 		}
 		i, _ := s.View().Find(p.instance)
 		if i.Domain() == s.Domain && r.GetLearned() {
-			neighbours++
+			domainVotes++
 			version = max(version, r.GetVersion())
 		}
 	}
-	h := s.current.Load()
+	current := s.current.Load()
 	switch {
-	case votes > controls/2:
-		// Every accepted command is in the journal of one of these voters.
-		if h.folded >= index && index > 0 {
-			s.cutOff.Store(false)
-			s.confirmed.Store(time.Now().UnixNano())
+	case controlVotes > controlSize/2:
+		// A majority of the voters includes one whose journal has every accepted
+		// command.
+		if current.appliedIndex >= index && index > 0 {
+			s.controlUnreachable.Store(false)
+			s.confirmedAt.Store(time.Now().UnixNano())
 			s.learned.Store(true)
 		}
-	case neighbours > domain/2:
-		if h.snapshot.Version() >= version {
-			s.cutOff.Store(true)
+	case domainVotes > domainSize/2:
+		if current.snapshot.Version() >= version {
+			s.controlUnreachable.Store(true)
 			s.learned.Store(true)
 		}
 	}
 	if s.learned.Load() {
-		s.Log.WithField("version", h.snapshot.Version()).WithField("cut_off", s.ControlUnreachable()).Info("configuration learned")
+		s.Log.WithField("version", current.snapshot.Version()).WithField("cut_off", s.ControlUnreachable()).Info("configuration learned")
 	}
 }
--- a/rockbarrow/config/source.go
+++ b/rockbarrow/config/source.go
@@ -1,23 +1,23 @@
 // SPDX-License-Identifier: MIT
 
-// Package config keeps the configuration in force at an instance.
+// Package config maintains the active configuration of an instance.
 //
 // # Versions
 //
-// A [Source] holds the newest version behind an atomic pointer and only ever
-// moves to a greater one. New versions are pushed by the control leader and
+// A [Source] holds the active version behind an atomic pointer and replaces it
+// only with a higher one. New versions are pushed by the control leader and
 // pulled from peers.
 //
 // # Learning
 //
-// A process that starts, or finds that it was paused, acts on nothing until it
-// has learned the newest version that a majority of the control instances
-// knows, or, when cut off from them, a majority of its failure domain.
+// After a start or a pause of the process, the configuration is not used until
+// the instance has learned the latest version known to a majority of the control
+// instances or, if these are unreachable, to a majority of its failure domain.
 //
 // # Control instances
 //
-// On a control instance the source also holds a copy of the control journal
-// and, when it is the first such instance that lives, its [control.Leader].
+// On a control instance the source also holds a replica of the control journal.
+// The first live control instance runs the [control.Leader].
 package config
 
 import (
@@ -41,40 +41,43 @@
 )
 
 const (
-	// JournalName is the control journal's name.
+	// JournalName is the name of the control journal.
 	JournalName = "control"
-	// storeKey keeps the newest version on a disk.
-	storeKey = "configuration"
-	// period is how often the loop looks.
-	period = 250 * time.Millisecond
-	// callTimeout bounds one call to a peer.
+	// configurationKey is the key under which the active version is stored on
+	// disk.
+	configurationKey = "configuration"
+	// loopInterval is the interval of the main loop.
+	loopInterval = 250 * time.Millisecond
+	// callTimeout bounds a call to a peer.
 	callTimeout = 2 * time.Second
-	// campaignPause is the least time between two campaigns.
-	campaignPause = time.Second
+	// campaignBackoff is the minimum time between two campaigns.
+	campaignBackoff = time.Second
 )
 
 // PeerClient sends requests to other instances.
 type PeerClient interface {
 	Journal(ctx context.Context, name string, to journal.Member, m journal.Message) (journal.Reply, error)
 	Pull(ctx context.Context, instance string, version uint64) (*peerpb.PullReply, error)
-	// Push offers a version; a peer that has it already ignores it.
-	Push(ctx context.Context, instance string, offer *peerpb.PullReply) error
+	// Push sends a version to a peer, which ignores it if it is not newer.
+	Push(ctx context.Context, instance string, reply *peerpb.PullReply) error
 	Command(ctx context.Context, instance string, req *peerpb.CommandRequest) (*operatorpb.ApplyReply, error)
 }
 
-// Store keeps the control journal and the newest version on a disk.
+// Store stores the control journal and the active version on disk.
 type Store interface {
 	Enqueue(name string, c journal.Change) func() error
 	Put(key string, value []byte) func() error
 }
 
-// held is a version with the journal index that it folds.
-type held struct {
-	snapshot *control.Snapshot
-	folded   uint64
+// versionedSnapshot is a version with the index of the last journal entry
+// applied to it.
+type versionedSnapshot struct {
+	snapshot     *control.Snapshot
+	appliedIndex uint64
 }
 
-// Source is one for each instance. Set the exported fields before Run.
+// Source maintains the configuration of an instance. The exported fields must
+// be set before Start.
 type Source struct {
 	Instance           string
 	Domain             string
@@ -91,63 +94,65 @@
 	PauseLimit   time.Duration
 	// OnChange is called with each version that becomes active.
 	OnChange func(*control.Snapshot)
-	// DiskFailed is told when a sync fails; the process must end then.
+	// DiskFailed is called when a sync fails; the process must then exit.
 	DiskFailed func(error)
 	Log        *logrus.Entry
 	Metrics    tally.Scope
 
-	current atomic.Pointer[held]
+	current atomic.Pointer[versionedSnapshot]
 	learned atomic.Bool
-	// cutOff is true while the version was learned from the domain only.
-	cutOff atomic.Bool
-	// confirmed is when a control instance last told its version, in
+	// controlUnreachable is set if the version was learned from the own failure
+	// domain only.
+	controlUnreachable atomic.Bool
+	// confirmedAt is when a control instance last confirmed the version, in
 	// nanoseconds since 1970.
-	confirmed atomic.Int64
-	rounds    atomic.Uint64
-	commands  atomic.Uint64
-	// advance serializes changes of current.
-	advance sync.Mutex
+	confirmedAt atomic.Int64
+	round       atomic.Uint64
+	requests    atomic.Uint64
+	// updateMu serializes updates of current.
+	updateMu sync.Mutex
 
-	voter  voter
-	box    mailbox.Box[control.Event]
-	leadMu sync.Mutex
-	leader *control.Leader
-	// waiting are operators whose command is not decided yet.
-	waiting map[control.RequestID]chan *recordpb.ControlOutcome
-	next    time.Time
+	voter    voter
+	mailbox  mailbox.Box[control.Event]
+	leaderMu sync.Mutex
+	leader   *control.Leader
+	// pending holds the response channels of undecided commands.
+	pending      map[control.RequestID]chan *recordpb.ControlOutcome
+	nextCampaign time.Time
 }
 
-// Start prepares the source with what a disk kept; both may be nil.
-func (s *Source) Start(kept []byte, r *journal.Replica) error {
-	s.current.Store(&held{snapshot: control.NewSnapshot(&configpb.Document{})})
-	s.box.Step = s.step
-	s.waiting = map[control.RequestID]chan *recordpb.ControlOutcome{}
+// Start initializes the source with the configuration and the replica loaded
+// from disk. Both may be nil.
+func (s *Source) Start(stored []byte, r *journal.Replica) error {
+	s.current.Store(&versionedSnapshot{snapshot: control.NewSnapshot(&configpb.Document{})})
+	s.mailbox.Step = s.step
+	s.pending = map[control.RequestID]chan *recordpb.ControlOutcome{}
 	s.voter = voter{source: s, replica: r}
-	if kept == nil {
+	if stored == nil {
 		return nil
 	}
-	var offer peerpb.PullReply
-	if err := proto.Unmarshal(kept, &offer); err != nil {
+	var reply peerpb.PullReply
+	if err := proto.Unmarshal(stored, &reply); err != nil {
 		return &control.SnapshotError{Cause: err}
 	}
-	s.Update(offer.GetDocument(), offer.GetFoldedIndex())
+	s.Update(reply.GetDocument(), reply.GetFoldedIndex())
 	return nil
 }
 
-// Snapshot returns the version in force.
+// Snapshot returns the active version.
 func (s *Source) Snapshot() *control.Snapshot { return s.current.Load().snapshot }
 
-// Learned reports whether the version in force is known to be the newest that
-// this instance can know.
+// Learned reports whether the active version is known to be the latest that
+// this instance can learn.
 func (s *Source) Learned() bool { return s.learned.Load() }
 
 // ControlUnreachable reports whether the version was confirmed by the own
 // failure domain only.
-func (s *Source) ControlUnreachable() bool { return s.cutOff.Load() }
+func (s *Source) ControlUnreachable() bool { return s.controlUnreachable.Load() }
 
-// Age returns how long ago a control instance last confirmed the version.
+// Age returns the time since a control instance last confirmed the version.
 func (s *Source) Age() time.Duration {
-	at := s.confirmed.Load()
+	at := s.confirmedAt.Load()
 	if at == 0 {
 		return time.Duration(1<<63 - 1)
 	}
@@ -155,49 +160,49 @@
 }
 
 // Update activates a version if it is newer than the active one.
-func (s *Source) Update(doc *configpb.Document, folded uint64) bool {
-	s.advance.Lock()
-	defer s.advance.Unlock()
-	now := s.current.Load()
-	version := now.snapshot.Version()
-	if doc.GetVersion() < version || doc.GetVersion() == version && folded <= now.folded {
+func (s *Source) Update(doc *configpb.Document, appliedIndex uint64) bool {
+	s.updateMu.Lock()
+	defer s.updateMu.Unlock()
+	current := s.current.Load()
+	version := current.snapshot.Version()
+	if doc.GetVersion() < version || doc.GetVersion() == version && appliedIndex <= current.appliedIndex {
 		return false
 	}
-	next := &held{snapshot: now.snapshot, folded: max(folded, now.folded)}
+	next := &versionedSnapshot{snapshot: current.snapshot, appliedIndex: max(appliedIndex, current.appliedIndex)}
 	if doc.GetVersion() > version {
 		next.snapshot = control.NewSnapshot(doc)
 	}
 	s.current.Store(next)
 	if doc.GetVersion() > version {
-		s.inForce(next)
+		s.activate(next)
 	}
 	return true
 }
 
-func (s *Source) inForce(h *held) {
-	s.Metrics.Gauge("config_version").Update(float64(h.snapshot.Version()))
-	s.OnChange(h.snapshot)
-	s.Log.WithField("version", h.snapshot.Version()).Info("configuration in force")
+func (s *Source) activate(v *versionedSnapshot) {
+	s.Metrics.Gauge("config_version").Update(float64(v.snapshot.Version()))
+	s.OnChange(v.snapshot)
+	s.Log.WithField("version", v.snapshot.Version()).Info("configuration activated")
 	if s.Store == nil {
 		return
 	}
-	b, err := proto.Marshal(s.offer(h))
+	b, err := proto.Marshal(s.pullReply(v))
 	if err != nil {
 		return
 	}
-	s.Store.Put(storeKey, b)
+	s.Store.Put(configurationKey, b)
 }
 
-func (s *Source) offer(h *held) *peerpb.PullReply {
-	return &peerpb.PullReply{Version: h.snapshot.Version(), Document: h.snapshot.Document(), FoldedIndex: h.folded}
+func (s *Source) pullReply(v *versionedSnapshot) *peerpb.PullReply {
+	return &peerpb.PullReply{Version: v.snapshot.Version(), Document: v.snapshot.Document(), FoldedIndex: v.appliedIndex}
 }
 
-// Pull answers a peer that has a version.
+// Pull replies to a peer that has the given version.
 func (s *Source) Pull(version uint64) *peerpb.PullReply {
-	h := s.current.Load()
-	out := &peerpb.PullReply{Version: h.snapshot.Version(), FoldedIndex: h.folded, Learned: s.learned.Load()}
+	current := s.current.Load()
+	out := &peerpb.PullReply{Version: current.snapshot.Version(), FoldedIndex: current.appliedIndex, Learned: s.learned.Load()}
 	if out.GetVersion() > version {
-		out.Document = h.snapshot.Document()
+		out.Document = current.snapshot.Document()
 	}
 	if s.isControl() {
 		out.Control = true
@@ -206,12 +211,12 @@
 	return out
 }
 
-// Push takes a version that a peer offers.
-func (s *Source) Push(offer *peerpb.PullReply) {
-	if offer.GetDocument() != nil {
-		s.Update(offer.GetDocument(), offer.GetFoldedIndex())
+// Push processes a version pushed by a peer.
+func (s *Source) Push(reply *peerpb.PullReply) {
+	if reply.GetDocument() != nil {
+		s.Update(reply.GetDocument(), reply.GetFoldedIndex())
 	}
-	s.confirmed.Store(time.Now().UnixNano())
+	s.confirmedAt.Store(time.Now().UnixNano())
 }
 
 // HandlePeerVersion pulls from a peer if its version is newer than the active
@@ -227,11 +232,11 @@
 	return ok && i.Control()
 }
 
-// Run looks after the configuration until ctx ends.
+// Run maintains the configuration until ctx is done.
 func (s *Source) Run(ctx context.Context) { s.loop(ctx) }
 
 func (s *Source) loop(ctx context.Context) {
-	t := time.NewTicker(period)
+	t := time.NewTicker(loopInterval)
 	defer t.Stop()
 	last := time.Now()
 	lastPull := time.Time{}
@@ -242,15 +247,15 @@
 		case <-t.C:
 		}
 		now := time.Now()
-		// The wall clock counts too: a suspended machine's monotonic clock may
-		// stand still.
+		// The wall clock is compared too, because the monotonic clock may stop while
+		// the machine is suspended.
 		if now.Sub(last) > s.PauseLimit || now.Round(0).Sub(last.Round(0)) > s.PauseLimit {
 			s.learned.Store(false)
-			s.Log.WithField("paused_ms", now.Sub(last).Milliseconds()).Warn("the process stood still; learning the configuration anew")
+			s.Log.WithField("paused_ms", now.Sub(last).Milliseconds()).Warn("process was paused; learning the configuration again")
 		}
 		last = now
 		if s.isControl() {
-			s.lead(now)
+			s.tickLeader(now)
 		}
 		if !s.learned.Load() {
 			s.learn(ctx)
@@ -258,7 +263,7 @@
 		}
 		if now.Sub(lastPull) >= s.PullInterval {
 			lastPull = now
-			s.pullAny(ctx)
+			s.pullFromRandomPeer(ctx)
 		}
 	}
 }
--- a/rockbarrow/config/source_test.go
+++ b/rockbarrow/config/source_test.go
@@ -21,7 +21,7 @@
 	"rockbarrow.dev/schema/peerpb"
 )
 
-// fakePeers answers pulls from a table; a missing instance cannot be reached.
+// fakePeers replies to pulls from a map; missing instances are unreachable.
 type fakePeers map[string]*peerpb.PullReply
 
 func (f fakePeers) Pull(_ context.Context, instance string, _ uint64) (*peerpb.PullReply, error) {
@@ -41,8 +41,9 @@
 	return nil, &UnavailableError{Reason: "test"}
 }
 
-// source is instance a2 of domain a; a1, b1 and c1 are the control instances.
-func source(t *testing.T, peers fakePeers) *Source {
+// newTestSource returns the source of instance a2 in failure domain a. The control
+// instances are a1, b1 and c1.
+func newTestSource(t *testing.T, peers fakePeers) *Source {
 	t.Helper()
 	all := []roster.Peer{
 		roster.NewPeer("a1", "a", "", false, true), roster.NewPeer("a2", "a", "", false, false), roster.NewPeer("a3", "a", "", false, false),
@@ -62,57 +63,57 @@
 	return s
 }
 
-func reply(version, folded, index uint64, isControl, learned bool) *peerpb.PullReply {
+func pullReply(version, appliedIndex, index uint64, isControl, learned bool) *peerpb.PullReply {
 	return &peerpb.PullReply{
-		Version: version, FoldedIndex: folded, ControlIndex: index, Control: isControl, Learned: learned,
+		Version: version, FoldedIndex: appliedIndex, ControlIndex: index, Control: isControl, Learned: learned,
 		Document: &configpb.Document{Version: version},
 	}
 }
 
 func TestVersionsOnlyRise(t *testing.T) {
-	s := source(t, nil)
+	s := newTestSource(t, nil)
 	s.Update(&configpb.Document{Version: 7}, 9)
 	if s.Update(&configpb.Document{Version: 6}, 20) || s.Snapshot().Version() != 7 {
-		t.Fatalf("version %d after an older one came, want 7", s.Snapshot().Version())
+		t.Fatalf("version %d after an update to an older one, want 7", s.Snapshot().Version())
 	}
 }
 
-func TestLearnsFromAControlMajority(t *testing.T) {
-	s := source(t, fakePeers{"a1": reply(3, 4, 4, true, true), "b1": reply(2, 3, 3, true, true)})
+func TestLearnFromControlMajority(t *testing.T) {
+	s := newTestSource(t, fakePeers{"a1": pullReply(3, 4, 4, true, true), "b1": pullReply(2, 3, 3, true, true)})
 	s.learn(context.Background())
 	if !s.Learned() || s.Snapshot().Version() != 3 || s.ControlUnreachable() {
-		t.Fatalf("learned %v version %d cut off %v, want true, 3, false", s.Learned(), s.Snapshot().Version(), s.ControlUnreachable())
+		t.Fatalf("learned %v, version %d, control unreachable %v; want true, 3, false", s.Learned(), s.Snapshot().Version(), s.ControlUnreachable())
 	}
 }
 
-func TestAnAcceptedEntryThatIsNotFoldedYetHoldsLearningBack(t *testing.T) {
-	s := source(t, fakePeers{"a1": reply(3, 4, 4, true, true), "b1": reply(3, 4, 5, true, true)})
+func TestLearnWaitsForNewerControlEntry(t *testing.T) {
+	s := newTestSource(t, fakePeers{"a1": pullReply(3, 4, 4, true, true), "b1": pullReply(3, 4, 5, true, true)})
 	s.learn(context.Background())
 	if s.Learned() {
-		t.Fatal("learned although a voter holds a newer entry")
+		t.Fatal("learned although a voter has a newer entry")
 	}
 }
 
 func TestOneControlInstanceIsNotEnough(t *testing.T) {
-	s := source(t, fakePeers{"a1": reply(3, 4, 4, true, false)})
+	s := newTestSource(t, fakePeers{"a1": pullReply(3, 4, 4, true, false)})
 	s.learn(context.Background())
 	if s.Learned() {
-		t.Fatal("learned from a minority")
+		t.Fatal("learned from a minority of the control instances")
 	}
 }
 
-func TestCutOffDomainServesOnItsNewest(t *testing.T) {
-	s := source(t, fakePeers{"a1": reply(3, 4, 4, true, true), "a3": reply(5, 6, 0, false, true)})
+func TestLearnFromDomainWhenControlIsUnreachable(t *testing.T) {
+	s := newTestSource(t, fakePeers{"a1": pullReply(3, 4, 4, true, true), "a3": pullReply(5, 6, 0, false, true)})
 	s.learn(context.Background())
 	if !s.Learned() || !s.ControlUnreachable() || s.Snapshot().Version() != 5 {
-		t.Fatalf("learned %v cut off %v version %d, want true, true, 5", s.Learned(), s.ControlUnreachable(), s.Snapshot().Version())
+		t.Fatalf("learned %v, control unreachable %v, version %d; want true, true, 5", s.Learned(), s.ControlUnreachable(), s.Snapshot().Version())
 	}
 }
 
-func TestUnlearnedNeighboursDoNotCount(t *testing.T) {
-	s := source(t, fakePeers{"a1": reply(3, 4, 4, true, false), "a3": reply(5, 6, 0, false, false)})
+func TestLearnIgnoresPeersThatHaveNotLearned(t *testing.T) {
+	s := newTestSource(t, fakePeers{"a1": pullReply(3, 4, 4, true, false), "a3": pullReply(5, 6, 0, false, false)})
 	s.learn(context.Background())
 	if s.Learned() {
-		t.Fatal("learned from neighbours that know nothing for certain")
+		t.Fatal("learned from peers that have not learned the configuration")
 	}
 }
--- a/rockbarrow/config/voter.go
+++ b/rockbarrow/config/voter.go
@@ -9,13 +9,13 @@
 	"rockbarrow.dev/rockbarrow/journal"
 )
 
-// voter is the own copy of the control journal.
+// voter is the local replica of the control journal.
 type voter struct {
 	source *Source
 
-	mu      sync.Mutex
-	replica *journal.Replica
-	synced  func() error
+	mu          sync.Mutex
+	replica     *journal.Replica
+	waitForSync func() error
 }
 
 func (v *voter) lastIndex() uint64 {
@@ -27,7 +27,7 @@
 	return v.replica.Log().LastIndex()
 }
 
-// promised returns the newest ballot seen here.
+// promised returns the highest ballot seen by the replica.
 func (v *voter) promised() journal.Ballot {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -37,26 +37,26 @@
 	return v.replica.Promised()
 }
 
-func (v *voter) message(m journal.Message) journal.Reply {
+func (v *voter) handleMessage(m journal.Message) journal.Reply {
 	v.mu.Lock()
 	if v.replica == nil {
 		v.replica = &journal.Replica{}
 	}
 	reply, change := v.replica.Handle(m)
-	v.fold()
+	v.compactIfLong()
 	if v.source.Store == nil {
 		v.mu.Unlock()
 		return reply
 	}
 	if change.Durable {
-		v.synced = v.source.Store.Enqueue(JournalName, change)
+		v.waitForSync = v.source.Store.Enqueue(JournalName, change)
 	}
-	synced := v.synced
+	waitForSync := v.waitForSync
 	v.mu.Unlock()
-	if synced == nil {
+	if waitForSync == nil {
 		return reply
 	}
-	if err := synced(); err != nil {
+	if err := waitForSync(); err != nil {
 		v.mu.Lock()
 		v.replica.Fail()
 		v.mu.Unlock()
@@ -66,9 +66,9 @@
 	return reply
 }
 
-// fold compacts the own copy as the leader does, once it is long. Called with
-// mu held.
-func (v *voter) fold() {
+// compactIfLong compacts a long replica in the same way as the leader. The
+// caller must hold mu.
+func (v *voter) compactIfLong() {
 	log := v.replica.Log()
 	if v.replica.Commit() < log.Base().Index()+2*control.DefaultCompactAfter {
 		return
@@ -85,7 +85,7 @@
 		return
 	}
 	if change, ok := v.replica.Compact(v.replica.Commit(), b); ok && v.source.Store != nil {
-		v.synced = v.source.Store.Enqueue(JournalName, change)
+		v.waitForSync = v.source.Store.Enqueue(JournalName, change)
 	}
 }
 
@@ -96,7 +96,7 @@
 	return journal.NewMember(s.Instance, s.Incarnation)
 }
 
-func (s *Source) allHeard() bool {
+func (s *Source) allVotersKnown() bool {
 	for _, m := range s.voters() {
 		if m.Incarnation() == 0 {
 			return false
@@ -105,24 +105,24 @@
 	return true
 }
 
-// reseat gives the seat of a voter that lost its storage to its next life,
-// which copies the journal before it counts.
-func (s *Source) reseat() {
-	s.leadMu.Lock()
+// replaceRestartedVoter starts the replacement of a voter that lost its
+// storage with its new incarnation.
+func (s *Source) replaceRestartedVoter() {
+	s.leaderMu.Lock()
 	l := s.leader
 	if l == nil || !l.AcceptsCommands() || l.Writer().ChangingMembers() {
-		s.leadMu.Unlock()
+		s.leaderMu.Unlock()
 		return
 	}
 	members := l.Writer().Members()
-	s.leadMu.Unlock()
+	s.leaderMu.Unlock()
 	for _, i := range s.View().Instances() {
 		if !i.Control() || !i.Usable() || members.Contains(i.Member()) {
 			continue
 		}
 		for _, m := range members {
 			if m.Instance() == i.Instance() {
-				s.box.Post(control.ReplaceVoter{New: i.Member(), Old: m})
+				s.mailbox.Post(control.ReplaceVoter{New: i.Member(), Old: m})
 				return
 			}
 		}
