--- a/rockbarrow/daemon/build.go
+++ b/rockbarrow/daemon/build.go
@@ -31,23 +31,24 @@
 	"rockbarrow.dev/rockbarrow/settings"
 )
 
-// configurationKey is where the store keeps the newest configuration.
+// configurationKey is the key under which the store keeps the active
+// configuration.
 const configurationKey = "configuration"
 
-// stopFlag is set once.
+// stopFlag is a flag that is never cleared once it is set.
 type stopFlag struct{ v atomic.Bool }
 
 func (f *stopFlag) set()      { f.v.Store(true) }
 func (f *stopFlag) get() bool { return f.v.Load() }
 
-// credentials are those of peers and operators.
+// credentials holds the transport credentials for peers and operators.
 type credentials struct {
 	server grpccreds.TransportCredentials
 	client grpccreds.TransportCredentials
 	secure bool
 }
 
-// build makes all parts, in the order in which they need each other.
+// build creates the components in the order of their dependencies.
 func (d *Daemon) build() error {
 	if err := d.buildMetrics(); err != nil {
 		return err
@@ -56,11 +57,11 @@
 		return err
 	}
 	peers := d.Settings.Roster()
-	d.cut = &peer.Cut{}
-	d.client = &peer.Client{Instance: d.Settings.Instance, Peers: peers, Credentials: d.creds.client, Cut: d.cut}
-	d.cleanUps = append(d.cleanUps, d.client.Close)
-	d.buildRoster(peers)
-	d.buildDesk()
+	d.partition = &peer.Cut{}
+	d.client = &peer.Client{Instance: d.Settings.Instance, Peers: peers, Credentials: d.credentials.client, Cut: d.partition}
+	d.cleanups = append(d.cleanups, d.client.Close)
+	d.buildMembership(peers)
+	d.buildDispatcher()
 	d.buildHost()
 	d.buildSource(peers)
 	return d.restore()
@@ -76,58 +77,60 @@
 		SanitizeOptions: &prometheus.DefaultSanitizerOpts,
 	}, time.Second)
 	d.scope = scope
-	d.page = reporter.HTTPHandler()
-	d.cleanUps = append(d.cleanUps, func() { closer.Close() })
+	d.metricsHandler = reporter.HTTPHandler()
+	d.cleanups = append(d.cleanups, func() { closer.Close() })
 	return nil
 }
 
 func (d *Daemon) buildCredentials() error {
 	t := d.Settings.TLS
 	if t.CA == "" {
-		d.creds = credentials{server: insecure.NewCredentials(), client: insecure.NewCredentials()}
+		d.credentials = credentials{server: insecure.NewCredentials(), client: insecure.NewCredentials()}
 		return nil
 	}
 	files := &keys.Files{CA: t.CA, Cert: t.Cert, Key: t.Key}
 	if err := files.Load(); err != nil {
 		return err
 	}
-	d.creds = credentials{server: files.Server(), client: files.Client(), secure: true}
+	d.credentials = credentials{server: files.Server(), client: files.Client(), secure: true}
 	return nil
 }
 
-func (d *Daemon) buildRoster(peers []roster.Peer) {
+func (d *Daemon) buildMembership(peers []roster.Peer) {
 	var self roster.Peer
 	for _, p := range peers {
 		if p.Instance() == d.Settings.Instance {
 			self = p
 		}
 	}
-	d.node = &gossip.Node{
+	d.membership = &gossip.Node{
 		Table: &roster.Table{
 			Self: self, Peers: peers,
 			DeadAfter: settings.Milliseconds(d.Settings.Timing.DeadAfterMS),
 			Rand:      rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 		},
 		Transport: d.client, Interval: settings.Milliseconds(d.Settings.Timing.HeartbeatMS),
-		Local: d.own, OnPeerVersion: d.hint, Metrics: d.scope,
+		Local: d.localHeartbeat, OnPeerVersion: d.handlePeerVersion, Metrics: d.scope,
 	}
-	d.node.Start()
+	d.membership.Start()
 }
 
-func (d *Daemon) hint(instance string, version uint64) { d.source.HandlePeerVersion(instance, version) }
+func (d *Daemon) handlePeerVersion(instance string, version uint64) {
+	d.source.HandlePeerVersion(instance, version)
+}
 
-func (d *Daemon) buildDesk() {
+func (d *Daemon) buildDispatcher() {
 	p := d.Settings.Placement
-	d.desk = &dispatch.Dispatcher{
+	d.dispatcher = &dispatch.Dispatcher{
 		Weights:  placement.Weights{Latency: p.LatencyWeight, Cache: p.CacheWeight},
-		Policy:   policyOf(p.Policy),
+		Policy:   placementPolicy(p.Policy),
 		MaxQueue: d.Settings.Limits.Queue,
 		MaxWait:  time.Duration(d.Settings.Limits.QueueSeconds) * time.Second,
 		Seed:     d.incarnation,
 	}
 }
 
-func policyOf(name string) placement.Policy {
+func placementPolicy(name string) placement.Policy {
 	switch name {
 	case "round_robin":
 		return placement.RoundRobin
@@ -142,8 +145,8 @@
 func (d *Daemon) buildHost() {
 	d.host = &host.Host{
 		Instance: d.Settings.Instance, Domain: d.Settings.Domain, Incarnation: d.incarnation,
-		Peers: d.client, Backends: backends(), Dispatcher: d.desk,
-		View:        d.node.View,
+		Peers: d.client, Backends: backends(), Dispatcher: d.dispatcher,
+		View:        d.membership.View,
 		Lease:       settings.Milliseconds(d.Settings.Timing.LeaseMS),
 		CallTimeout: time.Duration(d.Settings.Limits.CallSeconds) * time.Second,
 		Retention:   time.Duration(d.Settings.Timing.RetentionSeconds) * time.Second,
@@ -154,10 +157,10 @@
 func (d *Daemon) buildSource(peers []roster.Peer) {
 	d.source = &config.Source{
 		Instance: d.Settings.Instance, Domain: d.Settings.Domain, Incarnation: d.incarnation,
-		Peers: d.client, FailureDomains: places(peers), View: d.node.View,
+		Peers: d.client, FailureDomains: failureDomains(peers), View: d.membership.View,
 		PullInterval: settings.Milliseconds(d.Settings.Timing.PullMS),
 		PauseLimit:   settings.Milliseconds(d.Settings.Timing.DeadAfterMS) / 2,
-		OnChange:     func(s *control.Snapshot) { d.desk.ApplySnapshot(s) },
+		OnChange:     func(s *control.Snapshot) { d.dispatcher.ApplySnapshot(s) },
 		Log:          d.Log, Metrics: d.scope,
 	}
 	d.host.Config = d.source.Snapshot
@@ -167,16 +170,16 @@
 	d.source.DiskFailed = d.diskFailed
 }
 
-// diskFailed ends the process: what it promised from now on could not be kept,
-// and others take over what it owns.
+// diskFailed ends the process, because its replicas can no longer be made
+// durable. Other instances take over the runs that it owns.
 func (d *Daemon) diskFailed(err error) {
 	select {
-	case d.failed <- errors.Wrap(err, "daemon: the disk failed"):
+	case d.failed <- errors.Wrap(err, "daemon: disk failure"):
 	default:
 	}
 }
 
-// restore reads back what the disk kept, if there is one.
+// restore loads the journals and the configuration from disk, if there is one.
 func (d *Daemon) restore() error {
 	if d.Settings.DataDir == "" {
 		return d.source.Start(nil, nil)
@@ -185,19 +188,19 @@
 	if err != nil {
 		return err
 	}
-	d.cleanUps = append(d.cleanUps, func() {
+	d.cleanups = append(d.cleanups, func() {
 		if err := closeStore(); err != nil {
-			d.Log.WithError(err).Error("closing the store")
+			d.Log.WithError(err).Error("closing the store failed")
 		}
 	})
 	d.host.Store, d.host.StorageIncarnation = store, store.Storage()
 	d.source.Store, d.source.StorageIncarnation = store, store.Storage()
-	kept, err := store.Load()
+	journals, err := store.Load()
 	if err != nil {
 		return err
 	}
 	var controlJournal *journal.Replica
-	for _, k := range kept {
+	for _, k := range journals {
 		if k.Name() == config.JournalName {
 			controlJournal = k.Replica()
 			continue
@@ -208,11 +211,12 @@
 	if err != nil {
 		return err
 	}
-	d.Log.WithField("journals", len(kept)).Info("restored from the disk")
+	d.Log.WithField("journals", len(journals)).Info("journals restored from disk")
 	return d.source.Start(document, controlJournal)
 }
 
-// Check opens nothing but reports whether the data folder could be used.
+// Check returns an error if the data folder cannot be used. It does not open
+// it.
 func Check(s *settings.Settings) error {
 	if s.DataDir == "" {
 		return nil
@@ -230,14 +234,14 @@
 	return nil
 }
 
-// testPort lets a test close this instance's links: POST /cut with a JSON list
-// of instances.
-func testPort(cut *peer.Cut) http.Handler {
+// testHandler lets a test disconnect this instance from others: POST /cut with
+// a JSON list of instances.
+func testHandler(cut *peer.Cut) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /cut", func(w http.ResponseWriter, r *http.Request) {
 		var instances []string
-		const most = 1 << 20
-		if err := json.NewDecoder(io.LimitReader(r.Body, most)).Decode(&instances); err != nil {
+		const maxBody = 1 << 20
+		if err := json.NewDecoder(io.LimitReader(r.Body, maxBody)).Decode(&instances); err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
--- a/rockbarrow/daemon/daemon.go
+++ b/rockbarrow/daemon/daemon.go
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 
-// Package daemon wires the parts of an instance together and runs them.
+// Package daemon assembles the components of an instance and runs them.
 package daemon
 
 import (
@@ -32,45 +32,49 @@
 )
 
 const (
-	// maxAnswer bounds an answer in bytes.
-	maxAnswer = 8 << 20
-	// stall is how long an engine's stream may stand still.
-	stall = 20 * time.Second
-	// watchEvery is the period of polls of engines.
-	watchEvery = 500 * time.Millisecond
-	// lingerPeriod is how often a stopping instance looks for calls under way.
-	lingerPeriod = 50 * time.Millisecond
-	// noticePeriod lets the balancer see that the instance is not ready, and the
-	// owners of runs that are replicated here begin to replace it.
-	noticePeriod = 2500 * time.Millisecond
+	// maxAnswerBytes bounds the size of an answer.
+	maxAnswerBytes = 8 << 20
+	// streamStallTimeout bounds the time between two parts of an engine's
+	// stream.
+	streamStallTimeout = 20 * time.Second
+	// enginePollInterval is the interval at which engines are polled.
+	enginePollInterval = 500 * time.Millisecond
+	// drainPollInterval is the interval at which a stopping instance checks for
+	// calls in progress.
+	drainPollInterval = 50 * time.Millisecond
+	// propagationDelay is the time in which load balancers notice a change of
+	// readiness, and the owners of runs replicated here begin to replace this
+	// instance.
+	propagationDelay = 2500 * time.Millisecond
 )
 
-// Daemon is one instance. Set the exported fields before Run.
+// Daemon is an instance. The exported fields must be set before Run.
 type Daemon struct {
 	Settings *settings.Settings
 	Log      *logrus.Entry
 
-	incarnation uint64
-	started     time.Time
-	scope       tally.Scope
-	page        http.Handler
-	creds       credentials
-	cut         *peer.Cut
-	client      *peer.Client
-	node        *gossip.Node
-	source      *config.Source
-	desk        *dispatch.Dispatcher
-	host        *host.Host
-	cleanUps    []func()
-	// failed gets the first error that ends the instance.
+	incarnation    uint64
+	started        time.Time
+	scope          tally.Scope
+	metricsHandler http.Handler
+	credentials    credentials
+	partition      *peer.Cut
+	client         *peer.Client
+	membership     *gossip.Node
+	source         *config.Source
+	dispatcher     *dispatch.Dispatcher
+	host           *host.Host
+	cleanups       []func()
+	// failed receives the first error that ends the instance.
 	failed chan error
-	// stopping is set once, before the first refusal.
+	// stopping is set before the first request is refused.
 	stopping stopFlag
 }
 
-// Run serves until ctx ends, and then stops without cutting a call under way.
+// Run serves until ctx is done and then stops without aborting calls in
+// progress.
 func (d *Daemon) Run(ctx context.Context) error {
-	defer d.cleanUp()
+	defer d.cleanup()
 	d.incarnation = uint64(time.Now().UnixNano())
 	d.started = time.Now()
 	d.failed = make(chan error, 4)
@@ -80,13 +84,13 @@
 	return d.serve(ctx)
 }
 
-func (d *Daemon) cleanUp() {
-	for i := len(d.cleanUps) - 1; i >= 0; i-- {
-		d.cleanUps[i]()
+func (d *Daemon) cleanup() {
+	for i := len(d.cleanups) - 1; i >= 0; i-- {
+		d.cleanups[i]()
 	}
 }
 
-// servers are the listeners of an instance.
+// servers holds the listeners of an instance.
 type servers struct {
 	daemon    *Daemon
 	callers   *http.Server
@@ -101,11 +105,11 @@
 	if err := s.listen(ctx); err != nil {
 		return err
 	}
-	loops, stopLoops := context.WithCancel(context.Background())
-	defer stopLoops()
-	for _, r := range d.runners() {
+	tasks, stopTasks := context.WithCancel(context.Background())
+	defer stopTasks()
+	for _, run := range d.backgroundTasks() {
 		s.wait.Add(1)
-		go (&runner{run: r, ctx: loops, wait: &s.wait}).loop()
+		go (&backgroundTask{run: run, ctx: tasks, wait: &s.wait}).loop()
 	}
 	d.Log.Info("serving")
 	var err error
@@ -115,58 +119,58 @@
 	case err = <-d.failed:
 	}
 	s.close()
-	stopLoops()
+	stopTasks()
 	s.wait.Wait()
 	d.Log.Info("stopped")
 	return err
 }
 
-// runner runs one part until its context ends.
-type runner struct {
+// backgroundTask runs a component until its context is done.
+type backgroundTask struct {
 	run  func(context.Context)
 	ctx  context.Context
 	wait *sync.WaitGroup
 }
 
-func (r *runner) loop() {
-	defer r.wait.Done()
-	r.run(r.ctx)
+func (t *backgroundTask) loop() {
+	defer t.wait.Done()
+	t.run(t.ctx)
 }
 
-func (d *Daemon) runners() []func(context.Context) {
-	out := []func(context.Context){d.node.Run, d.source.Run, d.desk.Run, d.host.Run}
-	quick := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4, IdleConnTimeout: time.Minute}}
-	out = append(out, (&engine.Watcher{HTTP: quick, Desk: d.desk, Every: watchEvery, Near: d.Settings.Domain, Log: d.Log}).Run)
+func (d *Daemon) backgroundTasks() []func(context.Context) {
+	out := []func(context.Context){d.membership.Run, d.source.Run, d.dispatcher.Run, d.host.Run}
+	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4, IdleConnTimeout: time.Minute}}
+	out = append(out, (&engine.Watcher{HTTP: client, Desk: d.dispatcher, Every: enginePollInterval, Near: d.Settings.Domain, Log: d.Log}).Run)
 	if p := d.Settings.Platform; p.ListURL != "" {
 		out = append(out, (&endpointlist.Poller{
-			HTTP: quick, URL: p.ListURL, Interval: settings.Milliseconds(p.PollMS), Roster: d.node, Desk: d.desk, Log: d.Log,
+			HTTP: client, URL: p.ListURL, Interval: settings.Milliseconds(p.PollMS), Roster: d.membership, Desk: d.dispatcher, Log: d.Log,
 		}).Run)
 	}
 	return out
 }
 
-// drain takes nothing new, lets calls under way finish, and waits until the
-// runs that were replicated here have their copies elsewhere.
+// drain refuses new work, and waits for the calls in progress and until the
+// runs replicated here have their replicas elsewhere.
 func (d *Daemon) drain() {
 	d.stopping.set()
-	d.Log.Info("stopping: not ready, finishing calls under way")
+	d.Log.Info("stopping: reporting not ready and completing calls in progress")
 	deadline := time.Now().Add(settings.Milliseconds(d.Settings.Timing.DrainMS))
-	notBefore := time.Now().Add(noticePeriod)
+	earliestStop := time.Now().Add(propagationDelay)
 	for time.Now().Before(deadline) {
 		busy := d.host.Stop()
-		_, _, exposed := d.host.RunCounts()
-		if busy == 0 && exposed == 0 && time.Now().After(notBefore) && !d.neighboursRepair() {
+		_, _, underReplicated := d.host.RunCounts()
+		if busy == 0 && underReplicated == 0 && time.Now().After(earliestStop) && !d.domainUnderReplicated() {
 			return
 		}
-		time.Sleep(lingerPeriod)
+		time.Sleep(drainPollInterval)
 	}
-	d.Log.WithField("busy", d.host.Stop()).Warn("the time to drain is over")
+	d.Log.WithField("busy", d.host.Stop()).Warn("drain timeout exceeded")
 }
 
-// neighboursRepair reports whether a live instance of the domain owns runs that a
-// loss would leave with too few copies.
-func (d *Daemon) neighboursRepair() bool {
-	for _, i := range d.node.View().Instances() {
+// domainUnderReplicated reports whether a live instance of the failure domain
+// owns runs that lack replicas.
+func (d *Daemon) domainUnderReplicated() bool {
+	for _, i := range d.membership.View().Instances() {
 		if i.Domain() == d.Settings.Domain && i.Instance() != d.Settings.Instance && i.State() == roster.Live && i.Heartbeat().UnderReplicatedRuns() > 0 {
 			return true
 		}
@@ -176,12 +180,12 @@
 
 func (s *servers) listen(ctx context.Context) error {
 	d := s.daemon
-	secure := d.creds.secure
+	secure := d.credentials.secure
 	s.callers = &http.Server{Handler: d.callerServer().Handler(), MaxHeaderBytes: d.Settings.Limits.HeaderBytes, ReadHeaderTimeout: 10 * time.Second}
-	s.peers = peer.New(&peer.Server{Host: d.host, Config: d.source, Roster: d.node, Cut: d.cut, Secure: secure}, d.creds.server)
+	s.peers = peer.New(&peer.Server{Host: d.host, Config: d.source, Roster: d.membership, Cut: d.partition, Secure: secure}, d.credentials.server)
 	s.operators = operator.New(&operator.Server{
-		Instance: d.Settings.Instance, Config: d.source, Host: d.host, View: d.node.View, Peers: d.client, Secure: secure,
-	}, d.creds.server)
+		Instance: d.Settings.Instance, Config: d.source, Host: d.host, View: d.membership.View, Peers: d.client, Secure: secure,
+	}, d.credentials.server)
 	for _, l := range []struct {
 		name, address string
 		serve         func(net.Listener) error
@@ -197,11 +201,12 @@
 	if d.Settings.TestPort == "" {
 		return nil
 	}
-	s.test = &http.Server{Handler: testPort(d.cut), ReadHeaderTimeout: time.Second}
+	s.test = &http.Server{Handler: testHandler(d.partition), ReadHeaderTimeout: time.Second}
 	return s.start(ctx, "test port", d.Settings.TestPort, s.test.Serve)
 }
 
-// start serves an address once it can be had. Its error is that of ctx.
+// start listens on an address and serves it. It retries until it can listen or
+// ctx is done, whose error it returns.
 func (s *servers) start(ctx context.Context, name, address string, serve func(net.Listener) error) error {
 	a := &listen.Address{Name: name, Address: address, Log: s.daemon.Log}
 	l, err := a.Listen(ctx)
@@ -209,24 +214,25 @@
 		return err
 	}
 	s.wait.Add(1)
-	go (&serving{servers: s, address: a, serve: serve, listener: l}).run(ctx)
+	go (&servedAddress{servers: s, address: a, serve: serve, listener: l}).run(ctx)
 	return nil
 }
 
-// serving serves one address.
-type serving struct {
+// servedAddress serves one address.
+type servedAddress struct {
 	servers  *servers
 	address  *listen.Address
 	serve    func(net.Listener) error
 	listener net.Listener
 }
 
-func (l *serving) run(ctx context.Context) {
-	defer l.servers.wait.Done()
-	l.address.Serve(ctx, l.listener, l.serve)
+func (a *servedAddress) run(ctx context.Context) {
+	defer a.servers.wait.Done()
+	a.address.Serve(ctx, a.listener, a.serve)
 }
 
-// close ends the listeners; callers' answers still being written go out.
+// close closes the listeners. Answers to callers that are being written are
+// completed.
 func (s *servers) close() {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
@@ -244,23 +250,24 @@
 	l := d.Settings.Limits
 	return &caller.Server{
 		Instance: d.Settings.Instance, Domain: d.Settings.Domain,
-		Router: d.host, Config: d.source.Snapshot, Ready: d.ready, Homes: d.host,
+		Router: d.host, Config: d.source.Snapshot, Ready: d.notReadyReason, Homes: d.host,
 		MaxBody: l.BodyBytes, MaxStreams: l.Streams,
-		Metrics: d.scope, MetricsPage: d.page, Log: d.Log,
+		Metrics: d.scope, MetricsPage: d.metricsHandler, Log: d.Log,
 	}
 }
 
-// ready tells why the balancer should send nothing here, or "".
-func (d *Daemon) ready() string {
+// notReadyReason returns why load balancers should not send requests to this
+// instance, or "" if it is ready.
+func (d *Daemon) notReadyReason() string {
 	switch {
 	case d.stopping.get():
 		return "stopping"
 	case !d.source.Learned():
-		return "the newest configuration is not known yet"
+		return "the latest configuration is not known yet"
 	case d.withdrawn():
 		return "drained by an operator"
-	case time.Since(d.started) < noticePeriod || d.neighboursRepair():
-		return "runs of the failure domain are being copied"
+	case time.Since(d.started) < propagationDelay || d.domainUnderReplicated():
+		return "runs of the failure domain are being replicated"
 	}
 	return ""
 }
@@ -272,18 +279,19 @@
 	return instance || domain
 }
 
-// own is the instance's word on itself.
-func (d *Daemon) own() roster.Heartbeat {
-	owned, _, repairing := d.host.RunCounts()
+// localHeartbeat returns the heartbeat of this instance.
+func (d *Daemon) localHeartbeat() roster.Heartbeat {
+	owned, _, underReplicated := d.host.RunCounts()
 	b := roster.NewHeartbeat(d.Settings.Instance, d.incarnation, d.host.StorageIncarnation)
 	leaving := d.stopping.get() || d.withdrawn()
-	return b.WithStatus(leaving, d.source.Learned(), d.source.Snapshot().Version(), uint64(owned), uint64(repairing))
+	return b.WithStatus(leaving, d.source.Learned(), d.source.Snapshot().Version(), uint64(owned), uint64(underReplicated))
 }
 
-// places counts the instances and disks of each failure domain.
-func places(peers []roster.Peer) []control.FailureDomain {
+// failureDomains returns the failure domains with their numbers of instances
+// and of disks.
+func failureDomains(peers []roster.Peer) []control.FailureDomain {
 	var out []control.FailureDomain
-	for _, domain := range domains(peers) {
+	for _, domain := range domainNames(peers) {
 		instances, disks := 0, 0
 		for _, p := range peers {
 			if p.Domain() != domain {
@@ -299,7 +307,7 @@
 	return out
 }
 
-func domains(peers []roster.Peer) []string {
+func domainNames(peers []roster.Peer) []string {
 	var out []string
 	seen := map[string]bool{}
 	for _, p := range peers {
@@ -311,7 +319,7 @@
 	return out
 }
 
-// backends returns the adapters for endpoints.
+// backends returns the clients for engines and services.
 func backends() *backend.Set {
 	transport := &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: 2 * time.Second}).DialContext,
@@ -320,7 +328,7 @@
 	}
 	h := &http.Client{Transport: transport}
 	return &backend.Set{
-		Engine:  &engine.Client{HTTP: h, Stall: stall, MaxAnswer: maxAnswer},
-		Service: &service.Client{HTTP: h, MaxAnswer: maxAnswer},
+		Engine:  &engine.Client{HTTP: h, Stall: streamStallTimeout, MaxAnswer: maxAnswerBytes},
+		Service: &service.Client{HTTP: h, MaxAnswer: maxAnswerBytes},
 	}
 }
