--- a/rockbarrow/caller/server.go
+++ b/rockbarrow/caller/server.go
@@ -67,7 +67,7 @@
 
 // Homes names new runs.
 type Homes interface {
-	// Name returns a new run's id: at random, or for a key always the same. It
+	// NewRunID returns a new run's id: at random, or for a key always the same. It
 	// fails when no allowed failure domain can take it.
 	NewRunID(customer, key string, b control.Binding) (string, *peerpb.Problem)
 }
--- a/rockbarrow/daemon/build.go
+++ b/rockbarrow/daemon/build.go
@@ -200,12 +200,12 @@
 		return err
 	}
 	var controlJournal *journal.Replica
-	for _, k := range journals {
-		if k.Name() == config.JournalName {
-			controlJournal = k.Replica()
+	for _, j := range journals {
+		if j.Name() == config.JournalName {
+			controlJournal = j.Replica()
 			continue
 		}
-		d.host.Restore(k.Name(), k.Replica())
+		d.host.Restore(j.Name(), j.Replica())
 	}
 	document, err := store.Get(configurationKey)
 	if err != nil {
--- a/rockbarrow/host/run.go
+++ b/rockbarrow/host/run.go
@@ -238,11 +238,11 @@
 		}
 		return
 	}
-	var gone program.Machine
-	for _, act := range gone.Handle(time.Now(), program.OwnershipLost{}) {
+	var deposed program.Machine
+	for _, act := range deposed.Handle(time.Now(), program.OwnershipLost{}) {
 		r.performProgram(nil, act)
 	}
-	for _, act := range gone.Handle(time.Now(), a.Event) {
+	for _, act := range deposed.Handle(time.Now(), a.Event) {
 		r.performProgram(nil, act)
 	}
 }
