--- a/rockbarrow/controller/controller.go
+++ b/rockbarrow/controller/controller.go
@@ -171,8 +171,8 @@
 // progress.
 func (c *Controller) Run(ctx context.Context) {
 	go c.watch.Run(ctx)
-	go c.maintainReach(ctx)
-	go c.learnState(ctx)
+	go c.runReach(ctx)
+	go c.runLearning(ctx)
 	if c.Decode != nil {
 		go c.tables.loop(ctx)
 	}
--- a/rockbarrow/controller/learning.go
+++ b/rockbarrow/controller/learning.go
@@ -18,9 +18,9 @@
 	minLearnRetryDelay = 20 * time.Millisecond
 )
 
-// learnState determines the chosen state after a start, as soon as a majority of the voters is up.
+// runLearning determines the chosen state after a start, as soon as a majority of the voters is up.
 // After a full power loss, all instances wait for this.
-func (c *Controller) learnState(ctx context.Context) {
+func (c *Controller) runLearning(ctx context.Context) {
 	for c.State() == nil && c.savedRecord.Load().GetState() != nil {
 		c.readState(ctx)
 		if !wait.For(ctx, minLearnRetryDelay+rand.N(minLearnRetryDelay)) {
--- a/rockbarrow/controller/reach.go
+++ b/rockbarrow/controller/reach.go
@@ -22,9 +22,9 @@
 	reachTimeout = peerLongPoll + 100*time.Millisecond
 )
 
-// maintainReach keeps the reach up to date. Followers rely on it because they do not call every
+// runReach keeps the reach up to date. Followers rely on it because they do not call every
 // control instance themselves.
-func (c *Controller) maintainReach(ctx context.Context) {
+func (c *Controller) runReach(ctx context.Context) {
 	for {
 		next := c.computeReach()
 		before := c.reach.Load()
--- a/rockbarrow/controller/start_test.go
+++ b/rockbarrow/controller/start_test.go
@@ -39,7 +39,7 @@
 	if c.HasState() {
 		t.Fatal("an accepted value counts as chosen without a round")
 	}
-	c.learnState(t.Context())
+	c.runLearning(t.Context())
 	if got := c.State().GetConfiguration().GetVersion(); got != 4 {
 		t.Errorf("version %d was learned, want 4", got)
 	}
--- a/rockbarrow/entry/domain_health.go
+++ b/rockbarrow/entry/domain_health.go
@@ -78,8 +78,8 @@
 	return out
 }
 
-// watchReachability checks the reachability of other instances until ctx ends.
-func (e *Entry) watchReachability(ctx context.Context) {
+// runReachability checks the reachability of other instances until ctx ends.
+func (e *Entry) runReachability(ctx context.Context) {
 	t := time.NewTicker(reachabilityInterval)
 	defer t.Stop()
 	wasReady := false
--- a/rockbarrow/entry/entry.go
+++ b/rockbarrow/entry/entry.go
@@ -88,7 +88,7 @@
 
 // Run processes new configurations and lists until ctx ends.
 func (e *Entry) Run(ctx context.Context) {
-	go e.watchReachability(ctx)
+	go e.runReachability(ctx)
 	go e.runTableUpdates(ctx)
 	e.runListUpdates(ctx)
 }
