--- a/rockbarrow/backend/backend.go
+++ b/rockbarrow/backend/backend.go
@@ -18,7 +18,6 @@
 	Service *service.Client
 }
 
-// Call implements [host.Backends].
 func (s *Set) Call(ctx context.Context, a host.Attempt, emit func(uint64, string)) host.Result {
 	if a.Endpoint.GetService() != "" {
 		return s.Service.Call(ctx, a, emit)
@@ -26,7 +25,6 @@
 	return s.Engine.Call(ctx, a, emit)
 }
 
-// Release implements [host.Backends].
 func (s *Set) Release(ctx context.Context, e *configpb.Endpoint, run string) error {
 	if e.GetService() != "" {
 		return s.Service.Release(ctx, e, run)
--- a/rockbarrow/config/lead.go
+++ b/rockbarrow/config/lead.go
@@ -25,7 +25,6 @@
 	Reason string
 }
 
-// Error implements the error interface.
 func (e *UnavailableError) Error() string { return "control: unavailable: " + e.Reason }
 
 // UndeterminedError reports that a command may or may not be accepted.
@@ -34,7 +33,6 @@
 	CommandID string
 }
 
-// Error implements the error interface.
 func (e *UndeterminedError) Error() string {
 	return fmt.Sprintf("control: the outcome of command %q is undetermined; resend it under the same id", e.CommandID)
 }
--- a/rockbarrow/control/errors.go
+++ b/rockbarrow/control/errors.go
@@ -8,7 +8,6 @@
 	Cause error
 }
 
-// Error implements the error interface.
 func (e *SnapshotError) Error() string { return "control: snapshot: " + e.Cause.Error() }
 
 // Unwrap returns the cause.
--- a/rockbarrow/entry/api.go
+++ b/rockbarrow/entry/api.go
@@ -114,7 +114,6 @@
 	NoResponse bool
 }
 
-// Error implements error.
 func (e *NotExecutedError) Error() string {
 	return fmt.Sprintf("entry: endpoint %s did not run it: %s", e.Endpoint, e.Reason)
 }
@@ -127,7 +126,6 @@
 	NoResponse bool
 }
 
-// Error implements error.
 func (e *OutcomeUnknownError) Error() string {
 	return fmt.Sprintf("entry: endpoint %s may have run it: %s", e.Endpoint, e.Reason)
 }
--- a/rockbarrow/entry/forward.go
+++ b/rockbarrow/entry/forward.go
@@ -125,7 +125,6 @@
 
 func newBodyWriter(w ResponseWriter) io.Writer { return bodyWriter{writer: w} }
 
-// Write implements io.Writer.
 func (w bodyWriter) Write(b []byte) (int, error) {
 	if err := w.writer.Write(b); err != nil {
 		return 0, err
--- a/rockbarrow/membership/retire.go
+++ b/rockbarrow/membership/retire.go
@@ -11,13 +11,11 @@
 // UnknownStoreError reports that no store has the given name.
 type UnknownStoreError struct{ Name string }
 
-// Error implements error.
 func (e *UnknownStoreError) Error() string { return "membership: unknown store " + e.Name }
 
 // TooFewStoresError reports that a store can't be retired without losing the fault tolerance.
 type TooFewStoresError struct{ Remaining, Needed int }
 
-// Error implements error.
 func (e *TooFewStoresError) Error() string { return "membership: too few stores would remain" }
 
 // CheckRetire returns an error if a store can't be retired, because it is unknown or
--- a/rockbarrow/operator/server.go
+++ b/rockbarrow/operator/server.go
@@ -102,7 +102,6 @@
 	return "anonymous"
 }
 
-// Apply implements the schema's call.
 func (s *Server) Apply(ctx context.Context, req *operatorpb.ApplyRequest) (*operatorpb.ApplyReply, error) {
 	if id := req.GetCommandId(); id == "" || len(id) > maxID {
 		return nil, fieldError("command_id", fmt.Sprintf("must be 1 to %d bytes", maxID))
@@ -162,12 +161,10 @@
 	return st.Err()
 }
 
-// GetDocument implements the schema's call.
 func (s *Server) GetDocument(context.Context, *operatorpb.GetDocumentRequest) (*operatorpb.GetDocumentReply, error) {
 	return &operatorpb.GetDocumentReply{Document: s.Config.Snapshot().Document()}, nil
 }
 
-// WatchDocument implements the schema's call.
 func (s *Server) WatchDocument(_ *operatorpb.GetDocumentRequest, stream grpc.ServerStreamingServer[operatorpb.GetDocumentReply]) error {
 	t := time.NewTicker(watchEvery)
 	defer t.Stop()
@@ -187,7 +184,6 @@
 	}
 }
 
-// Status implements the schema's call.
 func (s *Server) Status(context.Context, *operatorpb.StatusRequest) (*operatorpb.StatusReply, error) {
 	view := s.View()
 	version := s.Config.Snapshot().Version()
@@ -220,7 +216,6 @@
 	return out, nil
 }
 
-// ExplainRun implements the schema's call.
 func (s *Server) ExplainRun(ctx context.Context, req *operatorpb.ExplainRunRequest) (*operatorpb.ExplainRunReply, error) {
 	out := &operatorpb.ExplainRunReply{Run: req.GetRun()}
 	for after := uint64(0); ; {
@@ -286,7 +281,6 @@
 	}
 }
 
-// Audit implements the schema's call.
 func (s *Server) Audit(req *operatorpb.AuditRequest, stream grpc.ServerStreamingServer[recordpb.AuditRecord]) error {
 	lines, err := s.Config.Audit()
 	if err == nil {
--- a/rockbarrow/peer/server.go
+++ b/rockbarrow/peer/server.go
@@ -91,7 +91,6 @@
 	return next(srv, ss)
 }
 
-// Heartbeat implements the schema's call.
 func (s *Server) Heartbeat(_ context.Context, req *peerpb.HeartbeatRequest) (*peerpb.HeartbeatReply, error) {
 	if p := req.GetProtocol(); p > Protocol+1 || p+1 < Protocol {
 		return nil, status.Errorf(codes.FailedPrecondition, "protocol %d does not work with %d", p, Protocol)
@@ -104,7 +103,6 @@
 	return &peerpb.HeartbeatReply{Protocol: Protocol, Beats: fromBeats(out)}, nil
 }
 
-// Journal implements the schema's call.
 func (s *Server) Journal(_ context.Context, req *peerpb.JournalRequest) (*peerpb.JournalReply, error) {
 	m := wire.ToMessage(req)
 	if m == nil {
@@ -126,23 +124,19 @@
 	return wire.Reply(to, reply), nil
 }
 
-// Do implements the schema's call.
 func (s *Server) Do(req *peerpb.DoRequest, stream grpc.ServerStreamingServer[peerpb.DoEvent]) error {
 	return s.Host.Serve(stream.Context(), req, stream.Send)
 }
 
-// Pull implements the schema's call.
 func (s *Server) Pull(_ context.Context, req *peerpb.PullRequest) (*peerpb.PullReply, error) {
 	return s.Config.Pull(req.GetVersion()), nil
 }
 
-// Push implements the schema's call.
 func (s *Server) Push(_ context.Context, req *peerpb.PullReply) (*peerpb.PushReply, error) {
 	s.Config.Push(req)
 	return &peerpb.PushReply{}, nil
 }
 
-// Command implements the schema's call.
 func (s *Server) Command(ctx context.Context, req *peerpb.CommandRequest) (*operatorpb.ApplyReply, error) {
 	out, err := s.Config.ApplyForwarded(ctx, req)
 	var unavailable *config.UnavailableError
@@ -155,7 +149,6 @@
 	return &operatorpb.ApplyReply{Outcome: out}, nil
 }
 
-// Audit implements the schema's call.
 func (s *Server) Audit(req *operatorpb.AuditRequest, stream grpc.ServerStreamingServer[recordpb.AuditRecord]) error {
 	lines, err := s.Config.Audit()
 	if err != nil {
--- a/rockbarrow/stores/errors.go
+++ b/rockbarrow/stores/errors.go
@@ -11,7 +11,6 @@
 	Budget, Used, MaxTokens uint64
 }
 
-// Error implements error.
 func (e *OverBudgetError) Error() string {
 	return fmt.Sprintf("stores: budget exceeded: %d tokens used, %d requested, budget %d", e.Used, e.MaxTokens, e.Budget)
 }
@@ -19,7 +18,6 @@
 // UnknownTurnError reports that a read quorum of the stores does not have a turn.
 type UnknownTurnError struct{ Turn string }
 
-// Error implements error.
 func (e *UnknownTurnError) Error() string { return "stores: unknown turn " + e.Turn }
 
 // UnavailableError reports that no quorum of the stores answered in time.
@@ -30,7 +28,6 @@
 	Epoch uint64
 }
 
-// Error implements error.
 func (e *UnavailableError) Error() string {
 	return fmt.Sprintf("stores: unavailable under view %d: %s", e.Epoch, e.Reason)
 }
