--- a/rockbarrow/host/host.go
+++ b/rockbarrow/host/host.go
@@ -22,14 +22,14 @@
 const (
 	// tickPeriod is the interval between ticks of owned runs.
 	tickPeriod = 500 * time.Millisecond
-	// sweepEvery is the number of ticks between sweeps for expired journals.
-	sweepInterval = 120
-	// keyWindow is how long a create request may be resent under its
+	// sweepTicks is the number of ticks between sweeps for expired journals.
+	sweepTicks = 120
+	// idempotencyWindow is how long a create request may be resent under its
 	// idempotency key.
 	idempotencyWindow = 10 * time.Minute
 	// peerTimeout bounds one journal message.
 	peerTimeout = 2 * time.Second
-	// campaignPause is the minimum time between two campaigns for a run.
+	// campaignBackoff is the minimum time between two campaigns for a run.
 	campaignBackoff = 500 * time.Millisecond
 )
 
@@ -96,7 +96,7 @@
 	return journal.NewMember(h.Instance, h.Incarnation)
 }
 
-// begin sets what the first event needs.
+// init sets the start time, once.
 func (h *Host) init() {
 	h.initOnce.Do(func() { h.started = time.Now() })
 }
@@ -125,7 +125,7 @@
 		case <-ctx.Done():
 			return
 		case <-t.C:
-			h.tick(n%sweepInterval == 0)
+			h.tick(n%sweepTicks == 0)
 		}
 	}
 }
--- a/rockbarrow/host/run.go
+++ b/rockbarrow/host/run.go
@@ -41,7 +41,7 @@
 	replicaMu sync.Mutex
 	replica   *journal.Replica
 	changedAt time.Time
-	// sync waits for the last change to be synced to disk; it is nil if there
+	// waitForSync waits for the last change to be synced to disk; it is nil if there
 	// is none.
 	waitForSync func() error
 }
