--- a/rockbarrow/roster/table.go
+++ b/rockbarrow/roster/table.go
@@ -14,10 +14,10 @@
 	DefaultDeadAfter = 3 * time.Second
 	// DefaultFanout is the default of Table.Fanout.
 	DefaultFanout = 2
-	// farEvery is the number of periods between exchanges with another
-	// failure domain.
-	remoteExchangeInterval = 4
-	// farSlack multiplies DeadAfter for instances of other failure
+	// remoteExchangePeriods is the number of periods between exchanges with
+	// another failure domain.
+	remoteExchangePeriods = 4
+	// remoteTimeoutFactor multiplies DeadAfter for instances of other failure
 	// domains, whose heartbeats arrive less often.
 	remoteTimeoutFactor = 4
 )
@@ -141,7 +141,7 @@
 	for _, p := range t.randomPeers(true, valueOrDefault(t.Fanout, DefaultFanout)) {
 		out = append(out, Exchange{To: p, Heartbeats: heartbeats})
 	}
-	if t.periods%remoteExchangeInterval == 0 {
+	if t.periods%remoteExchangePeriods == 0 {
 		for _, p := range t.randomPeers(false, 1) {
 			out = append(out, Exchange{To: p, Heartbeats: heartbeats})
 		}
--- a/rockbarrow/roster/view.go
+++ b/rockbarrow/roster/view.go
@@ -72,10 +72,12 @@
 // State returns the membership state.
 func (i Instance) State() State { return i.state }
 
-// Heartbeat returns the newest heartbeat of the instance.
+// Heartbeat returns the newest heartbeat of the instance as of the last change
+// of the view. A counter that increases does not change the view.
 func (i Instance) Heartbeat() Heartbeat { return i.heartbeat }
 
-// LastHeard returns when the heartbeat counter last increased.
+// LastHeard returns when the heartbeat counter last increased, as of the last
+// change of the view.
 func (i Instance) LastHeard() time.Time { return i.lastHeard }
 
 // Usable reports whether the instance accepts new work.
