--- a/rockbarrow/control/state.go
+++ b/rockbarrow/control/state.go
@@ -15,7 +15,7 @@
 	// maxOutcomes bounds the number of stored outcomes and thereby the period in
 	// which a resent command is recognized.
 	maxOutcomes = 32_768
-	// maxAudit bounds the length of the audit trail.
+	// maxAuditRecords bounds the length of the audit trail.
 	maxAuditRecords = 65_536
 )
 
