--- a/rockbarrow/config/source.go
+++ b/rockbarrow/config/source.go
@@ -104,8 +104,9 @@
 	// controlUnreachable is set if the version was learned from the own failure
 	// domain only.
 	controlUnreachable atomic.Bool
-	// confirmedAt is when a control instance last confirmed the version, in
-	// nanoseconds since 1970.
+	// confirmedAt is when the version was last confirmed, in nanoseconds since
+	// 1970: by control instances, by a push from any peer, or because there was
+	// no peer to ask.
 	confirmedAt atomic.Int64
 	round       atomic.Uint64
 	requests    atomic.Uint64
@@ -150,7 +151,8 @@
 // failure domain only.
 func (s *Source) ControlUnreachable() bool { return s.controlUnreachable.Load() }
 
-// Age returns the time since a control instance last confirmed the version.
+// Age returns the time since the version was last confirmed: by control
+// instances, by a push from any peer, or because there was no peer to ask.
 func (s *Source) Age() time.Duration {
 	at := s.confirmedAt.Load()
 	if at == 0 {
