--- a/rockbarrow/quota/limiter.go
+++ b/rockbarrow/quota/limiter.go
@@ -128,7 +128,7 @@
 	control, reply, err := l.AskControl(ctx, &fleetpb.AdmitRequest{Customer: customer.GetName(), Requests: 1, NewProgram: newProgram})
 	switch {
 	case err != nil || reply.GetUnsure():
-		return a.admitDisconnected(l, now, customer.GetName(), limit)
+		return a.admitWithoutControl(l, now, customer.GetName(), limit)
 	case reply.GetGranted():
 		a.grant(l, now, control)
 		return Granted{}
@@ -215,8 +215,8 @@
 	}
 }
 
-// admitDisconnected decides when no control instance can be reached.
-func (a *account) admitDisconnected(l *Limiter, now time.Time, customer string, limit float64) Decision {
+// admitWithoutControl decides when no control instance can be reached, or when the one asked is unsure.
+func (a *account) admitWithoutControl(l *Limiter, now time.Time, customer string, limit float64) Decision {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if d, ok := a.admitEvenly(l, now, customer, limit).(Granted); ok {
