--- a/rockbarrow/ledger/tracker.go
+++ b/rockbarrow/ledger/tracker.go
@@ -43,10 +43,10 @@
 	return out
 }
 
-// Ack counts a store that has synced the record. The store counts toward the read
-// quorum only if it was complete for the view or the one right before it: during
-// a view change the old group answers reads, afterwards the members, which have
-// copied its records.
+// Ack counts a store that answered the call; if the call is a write, the store has
+// synced the record. The store counts toward the read quorum only if it was complete
+// for the view or the one right before it: during a view change the old group
+// answers reads, afterwards the members, which have copied its records.
 func (t *QuorumTracker) Ack(storage, wholeEpoch uint64) {
 	t.acked[storage] = true
 	t.complete[storage] = wholeEpoch+1 >= t.epoch
