--- a/rockbarrow/stores/client.go
+++ b/rockbarrow/stores/client.go
@@ -67,7 +67,8 @@
 	// history holds the preceding turns, oldest first.
 	history []*fleetpb.Turn
 	home    string
-	// endpoint served the program's most recent settled turn; its id is empty if unknown.
+	// endpoint served the program's most recent settled turn, as reported by the store
+	// that replied last among those that named one; its id is empty if none did.
 	endpoint incarnation.ID
 }
 
@@ -75,7 +76,8 @@
 func (g *Grant) History() []*fleetpb.Turn { return g.history }
 
 // Endpoint returns the endpoint that served the program's most recent settled
-// turn. Its id is empty if none is known.
+// turn, as reported by the store that replied last among those that named one.
+// Its id is empty if none did.
 func (g *Grant) Endpoint() incarnation.ID { return g.endpoint }
 
 // Home returns the program whose stores keep the chain of turns.
--- a/rockbarrow/stores/health.go
+++ b/rockbarrow/stores/health.go
@@ -155,7 +155,8 @@
 // the store, is assumed to have been paused.
 const stallTolerance = 150 * time.Millisecond
 
-// processStalled reports whether a timer fired much later than it was set for.
+// processStalled reports whether a timer fired, or a call or probe ended, much
+// later than the end of the wait that began at set.
 // Answers may then be waiting unread, so a missing answer proves nothing.
 func processStalled(set time.Time, wait time.Duration) bool {
 	return time.Since(set) > wait+stallTolerance
