--- a/rockbarrow/watch/customers.go
+++ b/rockbarrow/watch/customers.go
@@ -14,7 +14,8 @@
 	"rockbarrow.dev/schema/fleetpb"
 )
 
-// CustomerUse is the number of requests admitted for a customer since the process started.
+// CustomerUse is the number of requests admitted for a customer, since the process
+// started or within the window of quotas.
 type CustomerUse struct {
 	Customer string
 	Requests uint64
--- a/rockbarrow/watch/target.go
+++ b/rockbarrow/watch/target.go
@@ -37,7 +37,8 @@
 	// backoff's duration.
 	backoffUntil time.Time
 	backoff      time.Duration
-	// reach is what it reports to reach, and knownControl the control instances it knows.
+	// reach tells which other control instances it has heard from just now, as it reports, and
+	// knownControl which ones it knows.
 	reach        *fleetpb.Reach
 	knownControl []*fleetpb.Member
 	controlSum   uint64
@@ -141,11 +142,11 @@
 	t.recordCustomerUses(customers, r.GetProcess())
 	// The list's age counts from when the answer was sent, which for a call that
 	// was held is close to the end of the wait. An earlier time is safe.
-	by := asked
+	earliestSent := asked
 	if time.Since(asked) >= maxWait {
-		by = asked.Add(maxWait)
+		earliestSent = asked.Add(maxWait)
 	}
-	c.handleReply(t, r, list, asked, by)
+	c.handleReply(t, r, list, asked, earliestSent)
 	return unpackErr
 }
 
@@ -218,7 +219,8 @@
 	return next, err
 }
 
-// addKnownVersions adds what the client already holds, so that the reply omits it.
+// addKnownVersions adds what the client already holds, so that the reply omits it,
+// and the relayed reports that the instance has not acknowledged.
 func (t *target) addKnownVersions(req *fleetpb.WatchRequest) {
 	c := t.client
 	c.mu.Lock()
--- a/rockbarrow/watch/watch.go
+++ b/rockbarrow/watch/watch.go
@@ -36,7 +36,9 @@
 	// retryInterval is the minimum time between the starts of calls to a failing
 	// instance; jitter extends it to at most twice that.
 	retryInterval = 150 * time.Millisecond
-	// unreachableAfter is the silence after which a control instance counts as unreachable.
+	// unreachableAfter is the silence after which a control instance counts as unreachable for
+	// backoff and for the choice of those to follow, to report to, to ask about quotas and to
+	// fetch tables from.
 	unreachableAfter = 2*longPollTimeout + answerSlack
 )
 
@@ -166,12 +168,15 @@
 	return out
 }
 
-// reachableWindow is how recently a control instance must have answered to count
-// as reachable: the length of a call with a margin.
+// reachableWindow is how recently a control instance must have answered to prove
+// that its failure domain is reachable (ReachesDomain): the length of a call with a
+// margin.
 const reachableWindow = longPollTimeout + answerSlack + 100*time.Millisecond
 
-// recentWindow is a narrower bound, for decisions that rest on another sign of a
-// partition as well: the length of a call and some round trips.
+// recentWindow is how recently a control instance must have answered to count
+// against a partition of this instance (CutOff): the length of a call and some round
+// trips. It is narrower, because CutOff alone only starts probes of the stores;
+// readiness also depends on whether these are reachable.
 const recentWindow = longPollTimeout + 100*time.Millisecond
 
 // CutOff reports whether this instance is likely partitioned from the rest: no
@@ -226,23 +231,23 @@
 }
 
 // Confirm returns a time at which no state newer than s had been chosen, according
-// to the voters. Own is the number of the state that this instance itself had
+// to the voters. AcceptedNumber is the number of the state that this instance itself had
 // accepted at some time after asked.
-func (c *Client) Confirm(s *fleetpb.State, own uint64, asked time.Time) (at time.Time, ok bool) {
+func (c *Client) Confirm(s *fleetpb.State, acceptedNumber uint64, asked time.Time) (at time.Time, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.votes.Record(c.Self.GetStorage(), own, asked)
+	c.votes.Record(c.Self.GetStorage(), acceptedNumber, asked)
 	return c.votes.ConfirmedAt(s)
 }
 
 // handleReply processes the answer to a call that was sent at asked. Ages in the
-// answer count from by. List is the reply's list, nil if it contains no newer one.
-func (c *Client) handleReply(t *target, r *fleetpb.WatchReply, list *catalog.List, asked, by time.Time) {
+// answer count from earliestSent. List is the reply's list, nil if it contains no newer one.
+func (c *Client) handleReply(t *target, r *fleetpb.WatchReply, list *catalog.List, asked, earliestSent time.Time) {
 	if wasUnreachable := c.recordAnswer(t, r, asked); wasUnreachable {
 		c.Log.WithField("control", t.address).Info("control instance is reached again")
 	}
 	c.ApplyReply(r)
-	c.applyList(r, list, by)
+	c.applyList(r, list, earliestSent)
 	if r.GetLoads() != nil && c.OnLoads != nil {
 		c.OnLoads(r.GetLoads())
 	}
