--- a/rockbarrow/placement/endpoint.go
+++ b/rockbarrow/placement/endpoint.go
@@ -80,7 +80,8 @@
 
 // unresponsiveAfter is how long an endpoint with calls in flight may send no
 // response before other endpoints are preferred. Model engines respond within
-// 100 ms; the longest plain calls take 1.5 s.
+// 100 ms. The longest plain calls take 1.5 s, so a healthy endpoint with only such
+// calls in flight may be passed over for a moment.
 const unresponsiveAfter = 1200 * time.Millisecond
 
 // RecordResponse records that a response has started.
@@ -199,8 +200,8 @@
 type Result struct {
 	// OK is false if the endpoint failed; it is true for a refused request.
 	OK bool
-	// Refused is true if the endpoint did not run the call. Such a call counts
-	// neither as answered nor as failed.
+	// Refused is true if the endpoint did not run the call, or if the client left
+	// early. Such a call counts neither as answered nor as failed.
 	Refused bool
 	// Unreachable is true if no connection was made or nothing was received. The
 	// endpoint is then ejected after a single failure.
--- a/rockbarrow/placement/fleet.go
+++ b/rockbarrow/placement/fleet.go
@@ -90,7 +90,8 @@
 // CostMS returns the estimated cost in milliseconds, 0 for policies other than Cost.
 func (c Choice) CostMS() float64 { return c.cost }
 
-// Fleet is an index of the endpoints of one configuration version.
+// Fleet is an index of the endpoints of one configuration version or of one
+// endpoint list.
 type Fleet struct {
 	weights Weights
 	policy  Policy
--- a/rockbarrow/placement/spread.go
+++ b/rockbarrow/placement/spread.go
@@ -48,11 +48,11 @@
 	if len(list) == 0 {
 		return Choice{}, false
 	}
-	d := candidateDraw{now: now, req: req, localLeft: drawSize, totalLeft: drawSize}
+	d := candidateDraw{now: now, req: req, localLeft: drawSize, anyLeft: drawSize}
 	start := int(f.windowStart%uint64(len(list))) + r.IntN(min(len(list), windowSize))
 	for i := range list {
 		d.consider(list[(start+i)%len(list)])
-		if d.localLeft == 0 && d.totalLeft == 0 {
+		if d.localLeft == 0 && d.anyLeft == 0 {
 			break
 		}
 	}
@@ -77,8 +77,9 @@
 }
 
 // drawSize is the number of endpoints compared from the local failure domain, and
-// from all failure domains. A larger draw makes better use of the reported load;
-// a smaller one spreads calls better while reports are stale.
+// the number compared in addition to these from any failure domain. A larger draw
+// makes better use of the reported load; a smaller one spreads calls better while
+// reports are stale.
 const drawSize = 3
 
 // windowSize is the number of consecutive endpoints where an instance starts its
@@ -90,17 +91,17 @@
 type candidateDraw struct {
 	now int64
 	req Request
-	// localLeft and totalLeft are the endpoints still to be compared from the
-	// local and from all failure domains. Full, unresponsive, failing and probably
-	// unreachable endpoints are not counted.
-	localLeft, totalLeft int
-	best                 *Endpoint
-	bestLoad             float64
+	// localLeft is the number of endpoints still to be compared from the local
+	// failure domain, and anyLeft that of further ones from any. Full,
+	// unresponsive, failing and probably unreachable endpoints are not counted.
+	localLeft, anyLeft int
+	best               *Endpoint
+	bestLoad           float64
 }
 
 func (d *candidateDraw) consider(e *Endpoint) {
 	local := e.domain == d.req.Domain
-	if d.totalLeft == 0 && !local || !e.isAvailable(d.now) || isAvoided(d.req, e) {
+	if d.anyLeft == 0 && !local || !e.isAvailable(d.now) || isAvoided(d.req, e) {
 		return
 	}
 	load := e.utilization(d.now) + domainPenalty(e, d.req) + failureRateWeight*e.remote.failureRateAt(d.now)
@@ -115,8 +116,8 @@
 	}
 	if local && d.localLeft > 0 {
 		d.localLeft--
-	} else if d.totalLeft > 0 {
-		d.totalLeft--
+	} else if d.anyLeft > 0 {
+		d.anyLeft--
 	}
 }
 
