--- a/rockbarrow/entry/customer.go
+++ b/rockbarrow/entry/customer.go
@@ -119,5 +119,5 @@
 	case quota.Unavailable:
 		name = "customer_unsure"
 	}
-	e.customers.get(e.Metrics, "customer", customer).Counter(name).Inc(1)
+	e.customerScopes.get(e.Metrics, "customer", customer).Counter(name).Inc(1)
 }
--- a/rockbarrow/entry/domain_health.go
+++ b/rockbarrow/entry/domain_health.go
@@ -94,8 +94,8 @@
 	}
 }
 
-// updateReachability updates the unreachable domains: those without any reachable store or
-// control instance.
+// updateReachability updates storesLostSince and the unreachable domains: those without any
+// reachable store or control instance.
 func (e *Entry) updateReachability() {
 	if e.Stores.Reachable() {
 		e.storesLostSince.Store(0)
--- a/rockbarrow/entry/draining.go
+++ b/rockbarrow/entry/draining.go
@@ -61,7 +61,8 @@
 		}
 	}
 	for _, p := range absent {
-		// Only a new start can list the endpoint again.
+		// An endpoint that was removed from the list returns to it only after a new start. Its earlier draining then no
+		// longer matters.
 		delete(d.byID, p.GetId())
 	}
 	return usable, draining, wait
--- a/rockbarrow/entry/entry.go
+++ b/rockbarrow/entry/entry.go
@@ -22,8 +22,9 @@
 )
 
 const (
-	// shortRetryAfter is sent with rejections whose cause passes within milliseconds, such
-	// as a start, and longRetryAfter with others.
+	// shortRetryAfter is the retry delay until the instance has learned what to serve, and the
+	// shortest one for a customer at its limit. longRetryAfter is the usual retry delay of other
+	// rejections.
 	shortRetryAfter = 150 * time.Millisecond
 	longRetryAfter  = 400 * time.Millisecond
 	// balancerRemovalTime is how long after the detection of a partition the balancer has
@@ -65,14 +66,14 @@
 	readmitAt time.Time
 	// tableUpdates and listUpdates are handled by separate goroutines, so that a slow
 	// configuration does not delay a list.
-	tableUpdates, listUpdates *signal
-	stopped                   atomic.Bool
-	domains                   domainHealth
-	sessions                  sessionEndpoints
-	limiters                  serviceLimiters
-	customers, outcomes       taggedScopes
-	// storesLostSince is when most stores became unreachable, in nanoseconds since 1970, zero
-	// while they are reachable.
+	tableUpdates, listUpdates     *signal
+	stopped                       atomic.Bool
+	domains                       domainHealth
+	sessions                      sessionEndpoints
+	limiters                      serviceLimiters
+	customerScopes, outcomeScopes taggedScopes
+	// storesLostSince is when Stores.Reachable was first seen to be false, in nanoseconds since
+	// 1970, zero while it is true.
 	storesLostSince atomic.Int64
 	inFlight        atomic.Int64
 }
@@ -141,7 +142,7 @@
 	return own && elsewhere
 }
 
-// isPartitioned reports whether this instance reaches neither most stores nor control. It
+// isPartitioned reports whether Stores.Reachable is false and Watch.CutOff is true. The instance
 // still serves what it can, but new connections should go to other instances. If only the
 // stores are lost, the other instances are no better off, and all stay ready.
 func (e *Entry) isPartitioned() bool { return !e.Stores.Reachable() && e.Watch.CutOff() }
@@ -261,7 +262,7 @@
 	case Aborted:
 		kind = "cut"
 	}
-	scope := e.outcomes.get(e.Metrics, "outcome", kind)
+	scope := e.outcomeScopes.get(e.Metrics, "outcome", kind)
 	scope.Counter("requests").Inc(1)
 	scope.Histogram("request_seconds", latencyBuckets).RecordDuration(took)
 	if x.ownTime > 0 {
--- a/rockbarrow/entry/entry_test.go
+++ b/rockbarrow/entry/entry_test.go
@@ -306,7 +306,7 @@
 	e := newEntry(t, s)
 	e.ReceiveLoads(&fleetpb.EndpointLoads{ListNumber: 99, Running: []uint32{9, 9, 9}, Failing: []uint32{90, 90, 90}})
 	e.ReceiveLoads(&fleetpb.EndpointLoads{ListNumber: 1, Running: []uint32{9}, Failing: []uint32{90}})
-	number := e.fleet.Load().reading.List().GetNumber()
+	number := e.fleet.Load().snapshot.List().GetNumber()
 	e.ReceiveLoads(&fleetpb.EndpointLoads{ListNumber: number, Running: []uint32{0, 0, 0}, Failing: []uint32{90, 90, 0}})
 	for range 6 {
 		e.Serve(t.Context(), newRequest("/once/1"), &fakeWriter{})
--- a/rockbarrow/entry/exchange.go
+++ b/rockbarrow/entry/exchange.go
@@ -133,17 +133,17 @@
 // request, so that an unresponsive endpoint does not use it up. Streams have stall detection
 // instead.
 func (x *exchange) withAttemptTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
-	left := int(x.route.GetMaxAttempts()) - x.failedExecutions
-	if x.handling.streamed || !x.handling.repeatable || left < 2 {
+	attemptsLeft := int(x.route.GetMaxAttempts()) - x.failedExecutions
+	if x.handling.streamed || !x.handling.repeatable || attemptsLeft < 2 {
 		return context.WithCancel(ctx)
 	}
-	return context.WithTimeout(ctx, time.Until(x.deadline)/time.Duration(left))
+	return context.WithTimeout(ctx, time.Until(x.deadline)/time.Duration(attemptsLeft))
 }
 
 // choose selects an endpoint and occupies a slot there.
 func (x *exchange) choose() (placement.Choice, bool) {
 	f := x.entry.fleet.Load()
-	x.listNumber = f.reading.List().GetNumber()
+	x.listNumber = f.snapshot.List().GetNumber()
 	now := time.Now()
 	if current := x.entry.Watch.List(); current != nil {
 		x.listAgeMS = now.Sub(current.ConfirmedAt()).Milliseconds()
@@ -187,12 +187,12 @@
 	if err != nil {
 		var notExecuted *NotExecutedError
 		// An endpoint at capacity has not failed, nor has one whose client disconnected early.
-		left := ctx.Err() != nil && time.Since(sent) < hangTimeout
+		clientLeft := ctx.Err() != nil && time.Since(sent) < hangTimeout
 		busy := errors.As(err, &notExecuted) && notExecuted.Busy
-		if !busy && !left {
+		if !busy && !clientLeft {
 			p.RecordConnectionLoss()
 		}
-		done(placement.Result{OK: busy || left, Refused: busy || left, Unreachable: unreached})
+		done(placement.Result{OK: busy || clientLeft, Refused: busy || clientLeft, Unreachable: unreached})
 		x.avoid = append(x.avoid, x.endpoint)
 		return nil, nil, err
 	}
--- a/rockbarrow/entry/loads.go
+++ b/rockbarrow/entry/loads.go
@@ -33,10 +33,10 @@
 // position in the endpoint list, so they are ignored unless they are for the current list.
 func (e *Entry) ReceiveLoads(l *fleetpb.EndpointLoads) {
 	f := e.fleet.Load()
-	if f == nil || f.reading.Version().Number() != l.GetListNumber() {
+	if f == nil || f.snapshot.Version().Number() != l.GetListNumber() {
 		return
 	}
-	list := f.reading.List().GetEndpoints()
+	list := f.snapshot.List().GetEndpoints()
 	loads := make([]placement.RemoteLoad, 0, len(l.GetIndex()))
 	add := func(index, i int) bool {
 		if index >= len(list) || i >= len(l.GetRunning()) || i >= len(l.GetFailing()) {
--- a/rockbarrow/entry/updates.go
+++ b/rockbarrow/entry/updates.go
@@ -142,18 +142,18 @@
 	now := time.Now()
 	due := !e.readmitAt.IsZero() && !now.Before(e.readmitAt)
 	evacuated := evacuatedDomains(e.Watch.State())
-	if old != nil && old.reading.Version() == reading.Version() && slices.Equal(old.evacuated, evacuated) && !due {
+	if old != nil && old.snapshot.Version() == reading.Version() && slices.Equal(old.evacuated, evacuated) && !due {
 		return
 	}
 	var next *placement.Fleet
 	if old == nil {
-		changed, _ := e.diffLists(now, nil, &fleet{reading: reading, evacuated: evacuated})
+		changed, _ := e.diffLists(now, nil, &fleet{snapshot: reading, evacuated: evacuated})
 		next = placement.NewServiceFleet(now, changed, placement.Spread, nil)
 	} else {
-		changed, removed := e.diffLists(now, old, &fleet{reading: reading, evacuated: evacuated})
+		changed, removed := e.diffLists(now, old, &fleet{snapshot: reading, evacuated: evacuated})
 		next = old.Next(now, changed, removed)
 	}
-	e.fleet.Store(&fleet{Fleet: next, reading: reading, evacuated: evacuated})
+	e.fleet.Store(&fleet{Fleet: next, snapshot: reading, evacuated: evacuated})
 	e.Log.WithFields(logrus.Fields{
 		"list": reading.List().GetNumber(), "age_ms": time.Since(reading.ConfirmedAt()).Milliseconds(),
 		"since_news_ms": time.Since(notified).Milliseconds(), "evacuated": evacuated,
@@ -173,7 +173,7 @@
 // and the ids of those that no longer may.
 func (e *Entry) diffLists(now time.Time, old, next *fleet) (changed []placement.ListedEndpoint, removed []string) {
 	var present, absent []*fleetpb.Endpoint
-	to := next.reading.Version()
+	to := next.snapshot.Version()
 	catalog.ForEachDifference(old.version(), to, func(before, after *fleetpb.Endpoint) {
 		if after != nil {
 			present = append(present, after)
@@ -248,7 +248,7 @@
 type fleet struct {
 	// Fleet excludes the endpoints of evacuated failure domains.
 	*placement.Fleet
-	reading *watch.ListSnapshot
+	snapshot *watch.ListSnapshot
 	// evacuated are the names of those failure domains.
 	evacuated []string
 }
@@ -258,7 +258,7 @@
 	if f == nil {
 		return nil
 	}
-	return f.reading.Version()
+	return f.snapshot.Version()
 }
 
 // evacuationChanges returns the listed endpoints of the failure domains whose evacuation began or ended since an earlier
@@ -268,7 +268,7 @@
 		return nil
 	}
 	var out []*fleetpb.Endpoint
-	for _, p := range f.reading.List().GetEndpoints() {
+	for _, p := range f.snapshot.List().GetEndpoints() {
 		if slices.Contains(f.evacuated, p.GetFailureDomain()) != slices.Contains(old.evacuated, p.GetFailureDomain()) {
 			out = append(out, p)
 		}
