--- a/rockbarrow/controller/controller.go
+++ b/rockbarrow/controller/controller.go
@@ -34,8 +34,7 @@
 	Endpoints(ctx context.Context) (*fleetpb.EndpointList, error)
 }
 
-// UnavailableError is returned if no majority of the voters answered in time. The outcome of the
-// proposal is unknown: it may still be chosen.
+// UnavailableError is returned if a change was not confirmed. It may or may not be chosen.
 type UnavailableError struct{ Cause error }
 
 func (e *UnavailableError) Error() string {
--- a/rockbarrow/controller/coordinator.go
+++ b/rockbarrow/controller/coordinator.go
@@ -25,9 +25,9 @@
 	// settlePeriod is how long the set of stores must be unchanged before the first view is formed,
 	// so that it includes all stores that start together.
 	settlePeriod = 1200 * time.Millisecond
-	// leaderTimeout is how recently a control instance must have called to be ranked. Instances
+	// rankTimeout is how recently a control instance must have called to be ranked. Instances
 	// call every peerLongPoll.
-	leaderTimeout = time.Second
+	rankTimeout = time.Second
 	// confirmDelay is how long an accepted value may stay unconfirmed before this instance runs a
 	// round to find out whether it was chosen.
 	confirmDelay = 250 * time.Millisecond
@@ -49,7 +49,9 @@
 	controller *Controller
 	startedAt  time.Time
 	lastTick   time.Time
-	// unconfirmedSince is the time from which the own vote has been newer than the known state.
+	// unconfirmedSince is when the own vote was first seen to be newer than the known state, or
+	// when the last round to confirm it began, plus a random delay of less than confirmDelay. It
+	// is zero while the own vote is not newer.
 	unconfirmedSince time.Time
 	// lastStoreChange is when the number of present stores last changed.
 	lastStoreChange time.Time
@@ -143,7 +145,7 @@
 	if 2*len(reachable) <= len(seeds) || len(reachable) < len(seeds) && now.Sub(d.startedAt) < seedWait {
 		return
 	}
-	voters := initialVoters(reachable, c.controlMembers(now, leaderTimeout), 2*c.FaultTolerance+1)
+	voters := initialVoters(reachable, c.controlMembers(now, rankTimeout), 2*c.FaultTolerance+1)
 	d.applyChange(ctx, "first voters", register.InitialState(voters, seeds))
 }
 
--- a/rockbarrow/controller/learning.go
+++ b/rockbarrow/controller/learning.go
@@ -14,7 +14,7 @@
 	// learnTimeout bounds one round during startup.
 	learnTimeout = 150 * time.Millisecond
 	// minLearnRetryDelay is the shortest delay between such rounds; the longest is twice that. It
-	// exceeds the duration of a round, so that instances do not keep preempting each other.
+	// exceeds the usual duration of a round, so that instances do not keep preempting each other.
 	minLearnRetryDelay = 20 * time.Millisecond
 )
 
--- a/rockbarrow/controller/presence.go
+++ b/rockbarrow/controller/presence.go
@@ -158,7 +158,7 @@
 
 // rank returns this instance's position among the control instances heard recently.
 func (c *Controller) rank(now time.Time) int {
-	for i, m := range c.controlMembers(now, leaderTimeout) {
+	for i, m := range c.controlMembers(now, rankTimeout) {
 		if m.GetInstance() == c.Self.GetInstance() {
 			return i
 		}
