--- a/rockbarrow/membership/plan.go
+++ b/rockbarrow/membership/plan.go
@@ -35,7 +35,7 @@
 	LiveDomains map[string]bool
 	// Copies is the number of stores that keep a program's records.
 	Copies int
-	// StoresStable is true if no store has joined lately.
+	// StoresStable is true if the number of present stores has not changed lately.
 	StoresStable bool
 	Self         *fleetpb.Member
 	// Uptime is how long this instance has run, which bounds the silence it can observe.
--- a/rockbarrow/membership/retire.go
+++ b/rockbarrow/membership/retire.go
@@ -3,6 +3,7 @@
 package membership
 
 import (
+	"fmt"
 	"slices"
 
 	"rockbarrow.dev/schema/fleetpb"
@@ -16,7 +17,9 @@
 // TooFewStoresError reports that a store can't be retired without losing the fault tolerance.
 type TooFewStoresError struct{ Remaining, Needed int }
 
-func (e *TooFewStoresError) Error() string { return "membership: too few stores would remain" }
+func (e *TooFewStoresError) Error() string {
+	return fmt.Sprintf("membership: %d stores would remain, %d are needed", e.Remaining, e.Needed)
+}
 
 // CheckRetire returns an error if a store can't be retired, because it is unknown or
 // because fewer stores than needed would remain.
