--- a/rockbarrow/owner/owner.go
+++ b/rockbarrow/owner/owner.go
@@ -267,7 +267,8 @@
 		}
 		payload, err := proto.MarshalOptions{Deterministic: true}.Marshal(&recordpb.Batch{Records: c.Records})
 		if err != nil {
-			// Encoding fails only on invalid UTF-8, which adapters refuse.
+			// Encoding fails only on invalid UTF-8. Package caller replaces it in the messages of
+			// requests; package service does not check its answers for it.
 			continue
 		}
 		out = append(out, o.stepWriter(now, journal.Propose{Payload: payload})...)
--- a/rockbarrow/owner/plan.go
+++ b/rockbarrow/owner/plan.go
@@ -60,7 +60,7 @@
 // memberStatus groups the members of a journal, and the instances that could
 // become members, by their state in a view.
 type memberStatus struct {
-	live, dead journal.Members
+	live, unavailable journal.Members
 	// copies counts the live members that store payloads. present counts the
 	// leaving ones too.
 	copies, present int
@@ -78,7 +78,7 @@
 			c.present++
 		}
 		if !available(v, m) || nonVoting(m) {
-			c.dead = append(c.dead, m)
+			c.unavailable = append(c.unavailable, m)
 			continue
 		}
 		c.live = append(c.live, m)
@@ -131,7 +131,7 @@
 func nextChange(members journal.Members, v *roster.View, run, domain string, self journal.Member, nonVoting func(journal.Member) bool) journal.Event {
 	c := assessMembers(members, v, run, domain, nonVoting)
 	// A leaving owner stays a member while it replicates its journal.
-	c.dead = c.dead.Without(self)
+	c.unavailable = c.unavailable.Without(self)
 	// No other change commits while the only disk of the set is lost.
 	if m, ok := c.lostDisk(v, nonVoting); ok && !c.disk && c.present >= 2 {
 		return journal.RemoveMember{Member: m}
@@ -141,13 +141,13 @@
 			return e
 		}
 	}
-	if len(c.dead) > 0 && c.canCommit() {
-		return journal.RemoveMember{Member: c.dead[0]}
+	if len(c.unavailable) > 0 && c.canCommit() {
+		return journal.RemoveMember{Member: c.unavailable[0]}
 	}
-	if len(c.dead) == 0 && len(c.witnesses) > 0 && c.copies >= targetCopies {
+	if len(c.unavailable) == 0 && len(c.witnesses) > 0 && c.copies >= targetCopies {
 		return journal.RemoveMember{Member: c.witnesses[0]}
 	}
-	if len(c.dead) == 0 && c.copies > targetCopies {
+	if len(c.unavailable) == 0 && c.copies > targetCopies {
 		return removeSurplus(c, self)
 	}
 	return nil
@@ -219,7 +219,7 @@
 
 // lostDisk returns a member with a disk that is lost, if there is one.
 func (c memberStatus) lostDisk(v *roster.View, nonVoting func(journal.Member) bool) (journal.Member, bool) {
-	for _, m := range c.dead {
+	for _, m := range c.unavailable {
 		if m.Disk() && (!v.IsCurrentMember(m) || nonVoting(m)) {
 			return m, true
 		}
