--- a/rockbarrow/program/event.go
+++ b/rockbarrow/program/event.go
@@ -176,8 +176,8 @@
 type Dispatch struct {
 	Intent  *recordpb.Intent
 	History []*recordpb.Message
-	// ProposedAt is when the intent was proposed. An adapter does not send an
-	// attempt whose intent is older than the lease.
+	// ProposedAt is when the intent was proposed. Host, engine and service do
+	// not send an attempt whose intent is older than the lease.
 	ProposedAt time.Time
 }
 
