--- a/rockbarrow/document/list.go
+++ b/rockbarrow/document/list.go
@@ -19,7 +19,7 @@
 func NewList(l *fleetpb.EndpointList) (*List, error) {
 	b, err := proto.MarshalOptions{Deterministic: true}.Marshal(l)
 	if err != nil {
-		return nil, errors.Wrap(err, "document: a list of endpoints")
+		return nil, errors.Wrap(err, "document: encode list of endpoints")
 	}
 	return &List{list: l, document: b, digest: Digest(b)}, nil
 }
@@ -45,5 +45,5 @@
 		return nil, err
 	}
 	l := &fleetpb.EndpointList{}
-	return l, errors.Wrap(proto.Unmarshal(b, l), "document: a list of endpoints")
+	return l, errors.Wrap(proto.Unmarshal(b, l), "document: decode list of endpoints")
 }
