--- a/rockbarrow/routing/update.go
+++ b/rockbarrow/routing/update.go
@@ -18,7 +18,7 @@
 
 // Error names both tables.
 func (e *BaseError) Error() string {
-	return "routing: change is based on table " + shortDigest(e.got) + ", not on " + shortDigest(e.want)
+	return "routing: change is based on table " + shortDigest(e.got) + ", but table " + shortDigest(e.want) + " is held"
 }
 
 // DigestError is returned if applying a change yields another table than expected.
