--- a/rockbarrow/limiter/limiter.go
+++ b/rockbarrow/limiter/limiter.go
@@ -159,7 +159,7 @@
 	return l.startWaiting(now)
 }
 
-// maxVirtualTimes is the number of virtual times from which on those behind the clock are removed.
+// maxVirtualTimes is the number of stored virtual times at which charge removes those that the clock has passed.
 const maxVirtualTimes = 256
 
 // charge advances a customer's virtual time by one new program.
