--- a/rockbarrow/matrix/doc.go
+++ b/rockbarrow/matrix/doc.go
@@ -6,7 +6,9 @@
 // guarantees to callers after each event.
 //
 // The driver delivers messages between the state machines and advances a virtual
-// clock. docs/FAULTS.md shows the cells. A failing cell prints its seed:
+// clock. A cell of the matrix is one fault injected at one step of a call, or a
+// pair of faults at a pair of steps. docs/FAULTS.md shows the cells. A failing cell
+// prints its seed:
 //
 //	go test ./rockbarrow/matrix -run TestMatrix -matrix.seeds 200
 package matrix
