--- a/rockbarrow/daemon/daemon.go
+++ b/rockbarrow/daemon/daemon.go
@@ -140,10 +140,10 @@
 func (d *Daemon) backgroundTasks() []func(context.Context) {
 	out := []func(context.Context){d.membership.Run, d.source.Run, d.dispatcher.Run, d.host.Run}
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4, IdleConnTimeout: time.Minute}}
-	out = append(out, (&engine.Watcher{HTTP: client, Desk: d.dispatcher, Every: enginePollInterval, Near: d.Settings.Domain, Log: d.Log}).Run)
+	out = append(out, (&engine.Watcher{HTTP: client, Dispatcher: d.dispatcher, Every: enginePollInterval, Near: d.Settings.Domain, Log: d.Log}).Run)
 	if p := d.Settings.Platform; p.ListURL != "" {
 		out = append(out, (&endpointlist.Poller{
-			HTTP: client, URL: p.ListURL, Interval: settings.Milliseconds(p.PollMS), Roster: d.membership, Desk: d.dispatcher, Log: d.Log,
+			HTTP: client, URL: p.ListURL, Interval: settings.Milliseconds(p.PollMS), Roster: d.membership, Dispatcher: d.dispatcher, Log: d.Log,
 		}).Run)
 	}
 	return out
--- a/rockbarrow/endpointlist/list.go
+++ b/rockbarrow/endpointlist/list.go
@@ -43,12 +43,12 @@
 
 // Poller polls the list. Set the exported fields before calling Run.
 type Poller struct {
-	HTTP     *http.Client
-	URL      string
-	Interval time.Duration
-	Roster   Roster
-	Desk     *dispatch.Dispatcher
-	Log      *logrus.Entry
+	HTTP       *http.Client
+	URL        string
+	Interval   time.Duration
+	Roster     Roster
+	Dispatcher *dispatch.Dispatcher
+	Log        *logrus.Entry
 }
 
 // Run polls until ctx ends.
@@ -112,7 +112,7 @@
 		}
 	}
 	p.Roster.HandlePlatformUpdate(listed)
-	f := p.Desk.Fleet()
+	f := p.Dispatcher.Fleet()
 	if f == nil {
 		return
 	}
--- a/rockbarrow/engine/watch.go
+++ b/rockbarrow/engine/watch.go
@@ -65,9 +65,9 @@
 // Watcher polls the engines of the configuration. Set the exported fields
 // before Run.
 type Watcher struct {
-	HTTP  *http.Client
-	Desk  *dispatch.Dispatcher
-	Every time.Duration
+	HTTP       *http.Client
+	Dispatcher *dispatch.Dispatcher
+	Every      time.Duration
 	// Near names the failure domain whose engines are polled most.
 	Near string
 	Log  *logrus.Entry
@@ -107,7 +107,7 @@
 // pollAll polls some engines in turn, so that the cost does not grow with their
 // number: those of the own failure domain often, the others now and then.
 func (w *Watcher) pollAll(ctx context.Context) {
-	f := w.Desk.Fleet()
+	f := w.Dispatcher.Fleet()
 	if f == nil {
 		return
 	}
@@ -180,7 +180,7 @@
 func (p *polled) heard(l Load) {
 	if l.Incarnation != p.incarnation {
 		if p.incarnation != "" {
-			p.watcher.Desk.Prefixes.RemoveEndpoint(p.endpoint.Name())
+			p.watcher.Dispatcher.Prefixes.RemoveEndpoint(p.endpoint.Name())
 		}
 		p.incarnation = l.Incarnation
 		p.next = 0
@@ -206,10 +206,10 @@
 			continue
 		}
 		if ev.Stored {
-			p.watcher.Desk.Prefixes.Add(key, p.endpoint.Name())
+			p.watcher.Dispatcher.Prefixes.Add(key, p.endpoint.Name())
 			continue
 		}
-		p.watcher.Desk.Prefixes.Remove(key, p.endpoint.Name())
+		p.watcher.Dispatcher.Prefixes.Remove(key, p.endpoint.Name())
 	}
 }
 
