--- a/rockbarrow/owner/owner_test.go
+++ b/rockbarrow/owner/owner_test.go
@@ -78,3 +78,18 @@
 		t.Fatalf("the owner replied %v, want a view of the run", got[51])
 	}
 }
+
+// TestConfirmationCoversOnlyRepliesUpToIt checks that a reply which waits for a
+// later confirmation is not sent with an earlier one.
+func TestConfirmationCoversOnlyRepliesUpToIt(t *testing.T) {
+	o := &Owner{unconfirmed: []unconfirmedReply{
+		{number: 1, reply: program.Reply{ID: 1}},
+		{number: 2, reply: program.Reply{ID: 2}},
+	}}
+	for _, want := range []program.CallID{1, 2} {
+		out := o.confirmed(uint64(want))
+		if len(out) != 1 || out[0].(ProgramAction).Action.(program.Reply).ID != want {
+			t.Fatalf("confirmation %d sent %v, want reply %d alone", want, out, want)
+		}
+	}
+}
